--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -23,7 +23,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_scatter::delay::Stamp;
-use lentillift_scatter::outcome::Brought;
+use lentillift_scatter::outcome::BranchUpdate;
 use lentillift_scatter::outcome::Outcome;
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::report::Report;
@@ -164,7 +164,7 @@
             legs.copied().collect()
         };
         let places: Vec<u16> = answer.parts.iter().map(|(place, _)| *place).collect();
-        let mut brought = Brought {
+        let mut brought = BranchUpdate {
             done: legs(&places),
             declined: legs(&answer.declined),
             failed: legs(&answer.failed),
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -56,12 +56,12 @@
     /// The server's process ended while it had the request.
     ServerEnded,
     /// Another host told of some legs.
-    Branch(Brought),
+    Branch(BranchUpdate),
 }
 
 /// What another host told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Brought {
+pub struct BranchUpdate {
     /// Legs whose part it brought.
     pub done: Vec<usize>,
     /// Legs for which it sent nothing.
--- a/crates/lentillift-scatter/src/query/ended.rs
+++ b/crates/lentillift-scatter/src/query/ended.rs
@@ -5,7 +5,7 @@
 use crate::core::Core;
 use crate::leg::Target;
 use crate::leg::Try;
-use crate::outcome::Brought;
+use crate::outcome::BranchUpdate;
 use crate::outcome::Outcome;
 use crate::outcome::Send;
 use crate::replica::Number;
@@ -110,13 +110,13 @@
         let is_told = matches!(outcome, Outcome::Branch(_));
         let brought = match outcome {
             Outcome::Branch(brought) => brought,
-            Outcome::Unreachable => Brought {
+            Outcome::Unreachable => BranchUpdate {
                 done: Vec::new(),
                 declined: branch.legs.clone(),
                 failed: Vec::new(),
                 last: true,
             },
-            _ => Brought {
+            _ => BranchUpdate {
                 done: Vec::new(),
                 declined: Vec::new(),
                 failed: branch.legs.clone(),
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -23,7 +23,7 @@
 use lentillift_scatter::ledger::Purpose;
 use lentillift_scatter::leg::State;
 use lentillift_scatter::leg::Target;
-use lentillift_scatter::outcome::Brought;
+use lentillift_scatter::outcome::BranchUpdate;
 use lentillift_scatter::outcome::Next;
 use lentillift_scatter::outcome::Outcome;
 use lentillift_scatter::plan::Plan;
@@ -42,7 +42,7 @@
         panic!("one send: {first:?}");
     };
     assert!(matches!(&send.target, Target::Host { host, .. } if &**host == "h"));
-    let brought = Brought {
+    let brought = BranchUpdate {
         done: vec![0, 1, 3, 4],
         declined: Vec::new(),
         failed: Vec::new(),
@@ -56,7 +56,7 @@
     assert!(matches!(&again.target, Target::Server(s) if &*s.entry.id == "c2"));
     let failed = query.ended(&mut core, now + MS, again.number, Outcome::Broken);
     assert!(failed.is_empty(), "a third server: {failed:?}");
-    let rest = Brought {
+    let rest = BranchUpdate {
         done: vec![2],
         declined: Vec::new(),
         failed: Vec::new(),
@@ -133,7 +133,7 @@
         core.loss.share(now)
     };
     let brought = |declined: Vec<usize>, failed: Vec<usize>| {
-        Outcome::Branch(Brought {
+        Outcome::Branch(BranchUpdate {
             done: vec![0, 1, 2],
             declined,
             failed,
@@ -217,7 +217,7 @@
             again += query.tick(&mut core, now).len();
         }
         now = arrival;
-        let brought = Brought {
+        let brought = BranchUpdate {
             done: vec![0, 1, 2, 3, 4],
             declined: Vec::new(),
             failed: Vec::new(),
@@ -316,7 +316,7 @@
 fn an_early_word_makes_nothing_late() {
     let (mut core, plan) = far_search();
     let (mut query, first) = Query::start(&mut core, plan, NOON);
-    let brought = Brought {
+    let brought = BranchUpdate {
         done: Vec::new(),
         declined: vec![2],
         failed: Vec::new(),
