--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -15,7 +15,7 @@
 use lentillift_fleet::follow::Origin;
 use lentillift_fleet::follow::proof;
 use lentillift_fleet::follow::way::Way;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::time::Duration;
 use tracing::info;
 use tracing::warn;
@@ -46,7 +46,7 @@
             }
             Err(error) => return Left::Failed(error),
         };
-        let quiet = matches!(&news, News::Changes { items, .. } if items.is_empty());
+        let quiet = matches!(&news, Update::Changes { items, .. } if items.is_empty());
         host.learn(Some(news), age);
         host.steady.set(true);
         host.take_way(Way::reader(&host.name));
@@ -69,7 +69,7 @@
 }
 
 /// What there is to know beyond what is known here, and how old it is.
-async fn ask<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
+async fn ask<D, S>(host: &Host<D, S>) -> Result<(Update, Duration)>
 where
     D: Dialect,
     S: Source,
@@ -85,7 +85,7 @@
     };
     let passed = host.now().saturating_sub(asked);
     let age = match &news {
-        News::Changes { items, .. } if items.is_empty() => proof::age_after_watch(passed, wait),
+        Update::Changes { items, .. } if items.is_empty() => proof::age_after_watch(passed, wait),
         // When the change came is not known.
         _ => passed,
     };
@@ -105,7 +105,7 @@
 }
 
 /// Everything that is published, and how old it is.
-async fn read<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
+async fn read<D, S>(host: &Host<D, S>) -> Result<(Update, Duration)>
 where
     D: Dialect,
     S: Source,
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -23,7 +23,7 @@
 use lentillift_scatter::grace::Before;
 use lentillift_scatter::grace::Grace;
 use lentillift_scatter::share::Roster;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use lentillift_scatter::switch::Mechanism;
 use rand::rngs::StdRng;
 use std::cell::Cell;
@@ -143,7 +143,7 @@
     }
 
     /// Takes in news that held `age` ago; followers are told of it at once.
-    pub fn learn(&self, news: Option<News>, age: Duration) {
+    pub fn learn(&self, news: Option<Update>, age: Duration) {
         let now = self.now();
         let provenance = Provenance {
             origin: self.origin.borrow().clone(),
--- a/crates/lentillift-gateway/src/notice.rs
+++ b/crates/lentillift-gateway/src/notice.rs
@@ -6,7 +6,7 @@
 use bincode::Encode;
 use lentillift_core::error::Result;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 
 /// A question of a follower whether it knows all that its origin does, as it stands on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// When it can't be encoded.
-    pub(crate) fn of(news: News, is_packed: bool, peer: &str) -> Result<Self> {
+    pub(crate) fn of(news: Update, is_packed: bool, peer: &str) -> Result<Self> {
         let encoded = frame::encode(&Notice::from(news), peer)?.to_vec();
         let packed = match is_packed {
             true => Packed::pack(encoded),
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// When it is malformed.
-    pub(crate) fn news(self, peer: &str) -> Result<News> {
+    pub(crate) fn news(self, peer: &str) -> Result<Update> {
         let encoded = Packed::from(self).unpack(peer)?;
         let notice: Notice = frame::decode(&encoded, peer)?;
         Ok(notice.into())
@@ -110,17 +110,17 @@
     }
 }
 
-impl From<News> for Notice {
-    fn from(news: News) -> Self {
+impl From<Update> for Notice {
+    fn from(news: Update) -> Self {
         let entries = |items: Vec<Item>| items.into_iter().map(Entry::from).collect();
         match news {
-            News::All { revision, items } => Self::All(revision, entries(items)),
-            News::Changes { revision, items } => Self::Changes(revision, entries(items)),
+            Update::All { revision, items } => Self::All(revision, entries(items)),
+            Update::Changes { revision, items } => Self::Changes(revision, entries(items)),
         }
     }
 }
 
-impl From<Notice> for News {
+impl From<Notice> for Update {
     fn from(notice: Notice) -> Self {
         let items = |entries: Vec<Entry>| entries.into_iter().map(Item::from).collect();
         match notice {
--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -4,7 +4,7 @@
 use lentillift_core::id;
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::Meaning;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::future::Future;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub enum Watched {
     /// What changed, possibly nothing.
-    Changes(News),
+    Changes(Update),
     /// The history after the revision is gone: read everything.
     Forgotten,
 }
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// When the service can't be reached, refuses, falls silent, or its answer can't be understood.
-    fn read(&self, silence: Duration) -> impl Future<Output = Result<News>>;
+    fn read(&self, silence: Duration) -> impl Future<Output = Result<Update>>;
 
     /// Waits up to `wait` for changes after `after`, and answers without any no sooner; fails if nothing comes for `silence` after that.
     ///
--- a/crates/lentillift-gateway/tests/ages.rs
+++ b/crates/lentillift-gateway/tests/ages.rs
@@ -26,7 +26,7 @@
 use lentillift_gateway::feed;
 use lentillift_gateway::listen;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -115,7 +115,7 @@
     let (outer, outside) = listener().await;
     let origin = host("origin", "a", outside, Memory::default());
     let items = vec![config(1)];
-    origin.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+    origin.learn(Some(Update::All { revision: 1, items }), Duration::ZERO);
     origin.swim.borrow_mut().serve();
     tokio::task::spawn_local(listen::nodes(origin.clone(), inner));
     tokio::task::spawn_local(late_way(outer, inside, lag));
@@ -173,7 +173,7 @@
                 for revision in 2..=CHANGES {
                     tokio::time::sleep(PAUSE).await;
                     let items = vec![config(revision)];
-                    origin.learn(Some(News::Changes { revision, items }), Duration::ZERO);
+                    origin.learn(Some(Update::Changes { revision, items }), Duration::ZERO);
                     until_heard(&follower, revision).await;
                 }
             });
@@ -249,7 +249,7 @@
 }
 
 /// What a host that stood still missed: its server has left, and another one has taken its place.
-fn missed(second: &Backend) -> News {
+fn missed(second: &Backend) -> Update {
     let entry = format!("s {} a", second.address);
     let left = Item {
         revision: 2,
@@ -260,14 +260,14 @@
         revision: 2,
         ..item("b1", entry)
     };
-    News::Changes {
+    Update::Changes {
         revision: 2,
         items: vec![left, came],
     }
 }
 
 /// The answer to a request that comes shortly before the news.
-async fn ask_before_news(served: &Served, news: News) -> String {
+async fn ask_before_news(served: &Served, news: Update) -> String {
     let front = served.front;
     let answer = tokio::task::spawn_local(async move { ask(front, &get("/one/x", "i")).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -357,7 +357,7 @@
         caller.write_all(head.as_bytes()).await.expect("written");
         tokio::time::sleep(Duration::from_millis(50)).await;
         let items = published("s2", &new, 2);
-        let news = News::Changes { revision: 2, items };
+        let news = Update::Changes { revision: 2, items };
         served.host.learn(Some(news), Duration::ZERO);
         caller.write_all(b"body").await.expect("written");
         let answer = read_message(&mut caller).await.expect("an answer");
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -43,7 +43,7 @@
 use lentillift_scatter::server::Stage;
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::Meaning;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
     /// Whether the next watch is never answered.
     pub is_silent: Rc<Cell<bool>>,
     /// What the next watch that is answered tells.
-    pub news: Rc<RefCell<Option<News>>>,
+    pub news: Rc<RefCell<Option<Update>>>,
 }
 
 impl Memory {
@@ -134,11 +134,11 @@
 }
 
 impl Source for Memory {
-    async fn read(&self, _silence: Duration) -> Result<News> {
+    async fn read(&self, _silence: Duration) -> Result<Update> {
         self.turn_away()?;
         let items = self.items.clone();
         self.leave().await;
-        Ok(News::All { revision: 1, items })
+        Ok(Update::All { revision: 1, items })
     }
 
     async fn watch(
@@ -156,7 +156,7 @@
         }
         tokio::time::sleep(wait).await;
         self.leave().await;
-        Ok(Watched::Changes(News::Changes {
+        Ok(Watched::Changes(Update::Changes {
             revision: after,
             items: Vec::new(),
         }))
@@ -286,7 +286,7 @@
     let (listener, front) = listener().await;
     let host = host("h", "a", front, source);
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.learn(Some(Update::All { revision: 1, items }), Duration::ZERO);
     }
     tokio::task::spawn_local(front::serve(host.clone(), listener, MOST_CALLERS));
     Served { host, front }
@@ -297,7 +297,7 @@
     let (listener, node) = listener().await;
     let host = host(name, domain, node, Memory::default());
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.learn(Some(Update::All { revision: 1, items }), Duration::ZERO);
     }
     host.swim.borrow_mut().serve();
     tokio::task::spawn_local(listen::nodes(host.clone(), listener));
--- a/crates/lentillift-gateway/tests/hosts.rs
+++ b/crates/lentillift-gateway/tests/hosts.rs
@@ -21,7 +21,7 @@
 use lentillift_gateway::feed;
 use lentillift_scatter::delay::Stamp;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::time::Duration;
 
 /// Five shards with one replica each in failure domain `b`.
@@ -150,7 +150,7 @@
         tokio::task::spawn_local(feed::follow(follower.clone()));
         changed.changed().await.expect("a change");
         assert!(follower.is_ready());
-        let news = News::Changes {
+        let news = Update::Changes {
             revision: 9,
             items: vec![Item {
                 key: "b4".to_owned(),
--- a/crates/lentillift-gateway/tests/spread.rs
+++ b/crates/lentillift-gateway/tests/spread.rs
@@ -15,7 +15,7 @@
 use lentillift_fleet::follow::Origin;
 use lentillift_gateway::feed;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -58,8 +58,8 @@
     };
     let items = vec![item];
     let news = match revision {
-        1 => News::All { revision, items },
-        _ => News::Changes { revision, items },
+        1 => Update::All { revision, items },
+        _ => Update::Changes { revision, items },
     };
     host.learn(Some(news), Duration::ZERO);
 }
--- a/crates/lentillift-scatter/src/catalog.rs
+++ b/crates/lentillift-scatter/src/catalog.rs
@@ -14,7 +14,7 @@
 use crate::server::Stage;
 use crate::source::Item;
 use crate::source::Meaning;
-use crate::source::News;
+use crate::source::Update;
 use crate::view::View;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -128,18 +128,18 @@
     }
 
     /// Takes in news; `decode` says what an item means.
-    pub fn learn<D>(&mut self, now: Time, news: News, grace: Grace, decode: D) -> Vec<Change>
+    pub fn learn<D>(&mut self, now: Time, news: Update, grace: Grace, decode: D) -> Vec<Change>
     where
         D: Fn(&Item) -> Meaning,
     {
         let mut changes = Vec::new();
         self.grace = Some(grace);
         let revision = match news {
-            News::All { revision, items } => {
+            Update::All { revision, items } => {
                 self.replace(now, revision, items, decode, &mut changes);
                 revision
             }
-            News::Changes { revision, items } => {
+            Update::Changes { revision, items } => {
                 for item in items {
                     self.put(now, item, &decode, &mut changes);
                 }
@@ -321,17 +321,17 @@
     }
 
     /// News for a follower that knows everything up to `after`; none if it misses nothing.
-    pub fn news(&self, after: id::Revision) -> Option<News> {
+    pub fn news(&self, after: id::Revision) -> Option<Update> {
         if self.revision == 0 || after >= self.revision {
             return None;
         }
         if after > 0 && after >= self.complete_after {
-            return Some(News::Changes {
+            return Some(Update::Changes {
                 revision: self.revision,
                 items: self.changed(after),
             });
         }
-        Some(News::All {
+        Some(Update::All {
             revision: self.revision,
             items: self.held.values().map(|held| held.item.clone()).collect(),
         })
--- a/crates/lentillift-scatter/src/source.rs
+++ b/crates/lentillift-scatter/src/source.rs
@@ -17,7 +17,7 @@
 
 /// What a reader learnt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// Everything that is published.
     All {
         /// The revision before which nothing is missing.
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -19,7 +19,7 @@
 use lentillift_scatter::server::Stage;
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::Meaning;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -76,16 +76,16 @@
     }
 }
 
-fn all(revision: u64, items: Vec<Item>) -> News {
-    News::All { revision, items }
+fn all(revision: u64, items: Vec<Item>) -> Update {
+    Update::All { revision, items }
 }
 
-fn changes(revision: u64, items: Vec<Item>) -> News {
-    News::Changes { revision, items }
+fn changes(revision: u64, items: Vec<Item>) -> Update {
+    Update::Changes { revision, items }
 }
 
 /// A catalog that was told this at noon.
-fn told(news: Vec<News>) -> Catalog {
+fn told(news: Vec<Update>) -> Catalog {
     let mut catalog = Catalog::default();
     for news in news {
         catalog.learn(NOON, news, GRACE, decode);
@@ -240,8 +240,8 @@
     );
     let news = changes(5, vec![put("b-x", 4, &[1, 0])]);
     assert_eq!(catalog.news(3), Some(news));
-    assert!(matches!(catalog.news(2), Some(News::All { .. })));
-    assert!(matches!(catalog.news(0), Some(News::All { .. })));
+    assert!(matches!(catalog.news(2), Some(Update::All { .. })));
+    assert!(matches!(catalog.news(0), Some(Update::All { .. })));
     for revision in 6..2000 {
         let items = vec![put("b-x", revision, &[1, 0])];
         catalog.learn(NOON, changes(revision, items), GRACE, decode);
@@ -252,8 +252,8 @@
         let items = vec![gone(&format!("b-{revision}"), revision)];
         catalog.learn(NOON, changes(revision, items), GRACE, decode);
     }
-    assert!(matches!(catalog.news(1999), Some(News::All { .. })));
-    assert!(matches!(catalog.news(6000), Some(News::Changes { .. })));
+    assert!(matches!(catalog.news(1999), Some(Update::All { .. })));
+    assert!(matches!(catalog.news(6000), Some(Update::Changes { .. })));
 }
 
 /// The service forgets its history for some seconds, and the reader reads everything each time. A follower
@@ -269,7 +269,7 @@
     ]);
     let news = catalog.news(3).expect("it misses something");
     assert_eq!(news, changes(9, vec![gone("b-x", 9), new]));
-    assert!(matches!(catalog.news(2), Some(News::All { .. })));
+    assert!(matches!(catalog.news(2), Some(Update::All { .. })));
     let mut follower = told(vec![all(3, vec![old, put("b-x", 2, &[1, 0]), y])]);
     follower.learn(NOON, news, GRACE, decode);
     assert_eq!(follower.view(), catalog.view());
