--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -2,8 +2,8 @@
 
 use lentillift_core::error::Result;
 use lentillift_core::id;
+use lentillift_scatter::source::Decoded;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::Meaning;
 use lentillift_scatter::source::Update;
 use std::future::Future;
 use std::time::Duration;
@@ -43,5 +43,5 @@
     ) -> impl Future<Output = Result<Watched>>;
 
     /// Says what an item means.
-    fn decode(&self, item: &Item) -> Meaning;
+    fn decode(&self, item: &Item) -> Decoded;
 }
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -41,8 +41,8 @@
 use lentillift_scatter::core::Options;
 use lentillift_scatter::server::Entry;
 use lentillift_scatter::server::Stage;
+use lentillift_scatter::source::Decoded;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::Meaning;
 use lentillift_scatter::source::Update;
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -162,13 +162,13 @@
         }))
     }
 
-    fn decode(&self, item: &Item) -> Meaning {
+    fn decode(&self, item: &Item) -> Decoded {
         let value = item.value.clone().unwrap_or_default();
         let value = String::from_utf8(value).expect("text");
         let words: Vec<&str> = value.split_whitespace().collect();
         match (item.key.as_str(), words.as_slice()) {
-            ("config", shards) => Meaning::Config(Box::new(config(shards))),
-            (id, [service, address, domain]) => Meaning::Server(Entry {
+            ("config", shards) => Decoded::Config(Box::new(config(shards))),
+            (id, [service, address, domain]) => Decoded::Server(Entry {
                 id: id.into(),
                 service: (*service).into(),
                 address: address.parse().expect("an address"),
@@ -178,7 +178,7 @@
                 cold_for: Duration::ZERO,
                 born: 1,
             }),
-            _ => Meaning::Other,
+            _ => Decoded::Other,
         }
     }
 }
--- a/crates/lentillift-scatter/src/catalog.rs
+++ b/crates/lentillift-scatter/src/catalog.rs
@@ -12,8 +12,8 @@
 use crate::server::Entry;
 use crate::server::Server;
 use crate::server::Stage;
+use crate::source::Decoded;
 use crate::source::Item;
-use crate::source::Meaning;
 use crate::source::Update;
 use crate::view::View;
 use lentillift_core::id;
@@ -130,7 +130,7 @@
     /// Takes in news; `decode` says what an item means.
     pub fn learn<D>(&mut self, now: Time, news: Update, grace: Grace, decode: D) -> Vec<Change>
     where
-        D: Fn(&Item) -> Meaning,
+        D: Fn(&Item) -> Decoded,
     {
         let mut changes = Vec::new();
         self.grace = Some(grace);
@@ -158,7 +158,7 @@
         decode: D,
         changes: &mut Vec<Change>,
     ) where
-        D: Fn(&Item) -> Meaning,
+        D: Fn(&Item) -> Decoded,
     {
         let present: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
         let gone: Vec<String> = self
@@ -182,7 +182,7 @@
 
     fn put<D>(&mut self, now: Time, item: Item, decode: &D, changes: &mut Vec<Change>)
     where
-        D: Fn(&Item) -> Meaning,
+        D: Fn(&Item) -> Decoded,
     {
         let known = self.held.get(&item.key).map(|held| held.revision);
         let known = known.or_else(|| self.removed.get(&item.key).copied());
@@ -200,21 +200,21 @@
             evacuated: None,
         };
         match decode(&item) {
-            Meaning::Config(config) => self.configure(*config, &item.key, changes),
-            Meaning::Server(entry) => match self.admit(now, entry, changes) {
+            Decoded::Config(config) => self.configure(*config, &item.key, changes),
+            Decoded::Server(entry) => match self.admit(now, entry, changes) {
                 Some(server) => held.server = Some(server),
                 // An account of a former process: the latest one stays as it is.
                 None => held.server = self.held.get(&item.key).and_then(|old| old.server.clone()),
             },
-            Meaning::Evacuation(domain) => {
+            Decoded::Evacuation(domain) => {
                 changes.push(Change::Evacuation(domain.clone(), true));
                 held.evacuated = Some(domain);
             }
-            Meaning::Malformed(cause) => changes.push(Change::Refused {
+            Decoded::Malformed(cause) => changes.push(Change::Refused {
                 key: item.key.clone(),
                 cause,
             }),
-            Meaning::Other => return,
+            Decoded::Other => return,
         }
         self.removed.remove(&item.key);
         self.held.insert(item.key, held);
--- a/crates/lentillift-scatter/src/source.rs
+++ b/crates/lentillift-scatter/src/source.rs
@@ -36,7 +36,7 @@
 
 /// What an item says, once it is decoded.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Meaning {
+pub enum Decoded {
     /// A version of the configuration.
     Config(Box<crate::config::Config>),
     /// An account of a backend server.
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -17,8 +17,8 @@
 use lentillift_scatter::grace::LAPSE;
 use lentillift_scatter::server::Entry;
 use lentillift_scatter::server::Stage;
+use lentillift_scatter::source::Decoded;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::Meaning;
 use lentillift_scatter::source::Update;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -34,19 +34,19 @@
 
 /// Items of these tests: `c` is a configuration whose bytes are its version, `b-ID` a backend server
 /// whose bytes are its start and stage, `e-DOMAIN` an evacuation.
-fn decode(item: &Item) -> Meaning {
+fn decode(item: &Item) -> Decoded {
     let value = item.value.clone().unwrap_or_default();
     match item.key.split_once('-') {
         None => match value.first() {
             Some(version) => {
                 let routes = vec![route(single("s"), Kind::Idempotent)];
-                Meaning::Config(Box::new(config(u64::from(*version), routes)))
+                Decoded::Config(Box::new(config(u64::from(*version), routes)))
             }
-            None => Meaning::Malformed("empty".to_owned()),
+            None => Decoded::Malformed("empty".to_owned()),
         },
-        Some(("e", domain)) => Meaning::Evacuation(domain.into()),
+        Some(("e", domain)) => Decoded::Evacuation(domain.into()),
         Some((_, id)) => match value.as_slice() {
-            [born, leaving] => Meaning::Server(Entry {
+            [born, leaving] => Decoded::Server(Entry {
                 born: u64::from(*born),
                 stage: if *leaving == 0 {
                     Stage::Ready
@@ -55,7 +55,7 @@
                 },
                 ..entry(id, "s", "a")
             }),
-            _ => Meaning::Malformed("no entry".to_owned()),
+            _ => Decoded::Malformed("no entry".to_owned()),
         },
     }
 }
