--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -20,8 +20,8 @@
 use lentillift_scatter::catalog::Change;
 use lentillift_scatter::core::Core;
 use lentillift_scatter::delay::Delays;
-use lentillift_scatter::grace::Before;
 use lentillift_scatter::grace::Grace;
+use lentillift_scatter::grace::LastKnown;
 use lentillift_scatter::share::Roster;
 use lentillift_scatter::source::Update;
 use lentillift_scatter::switch::Mechanism;
@@ -177,7 +177,7 @@
 
     /// Until when servers of which news has just come may still be asked.
     fn grace(&self) -> Grace {
-        let before = Before {
+        let before = LastKnown {
             proved: self.proved.get(),
             away: self.away.get(),
         };
--- a/crates/lentillift-scatter/src/grace.rs
+++ b/crates/lentillift-scatter/src/grace.rs
@@ -36,7 +36,7 @@
 
 /// What a host knew when the news came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Before {
+pub struct LastKnown {
     /// The latest moment at which all that was believed was known to hold; none if nothing was.
     pub proved: Option<Time>,
     /// When the service was last known to be away; none if it never was.
@@ -45,7 +45,7 @@
 
 impl Grace {
     /// Grace if nothing may reach a leaving server later than `bound` after its word was published.
-    pub fn within(bound: Duration, now: Time, before: Before) -> Self {
+    pub fn within(bound: Duration, now: Time, before: LastKnown) -> Self {
         // The word was published after `proved`, so the bound can't end earlier than this.
         let latest = before
             .proved
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -12,9 +12,9 @@
 use lentillift_scatter::catalog::Catalog;
 use lentillift_scatter::catalog::Change;
 use lentillift_scatter::config::Kind;
-use lentillift_scatter::grace::Before;
 use lentillift_scatter::grace::Grace;
 use lentillift_scatter::grace::LAPSE;
+use lentillift_scatter::grace::LastKnown;
 use lentillift_scatter::server::Entry;
 use lentillift_scatter::server::Stage;
 use lentillift_scatter::source::Decoded;
@@ -341,7 +341,7 @@
 
 /// Grace of news that comes at `now` to a host that last knew `before` that it had everything.
 fn grace(now: Time, before: Option<Time>) -> Grace {
-    let before = Before {
+    let before = LastKnown {
         proved: before,
         away: None,
     };
@@ -357,7 +357,7 @@
         let grace = grace(NOON, Some(published));
         assert!(grace.lapsed.max(grace.leaving) <= NOON.max(published + BOUND * 5 / 6));
     }
-    let before = Before {
+    let before = LastKnown {
         proved: Some(NOON),
         away: Some(NOON),
     };
