--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -178,7 +178,7 @@
     /// Until when servers of which news has just come may still be asked.
     fn grace(&self) -> Grace {
         let before = LastKnown {
-            proved: self.proved.get(),
+            confirmed_at: self.proved.get(),
             away: self.away.get(),
         };
         Grace::within(self.news.bound, self.now(), before)
--- a/crates/lentillift-scatter/src/grace.rs
+++ b/crates/lentillift-scatter/src/grace.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastKnown {
     /// The latest moment at which all that was believed was known to hold; none if nothing was.
-    pub proved: Option<Time>,
+    pub confirmed_at: Option<Time>,
     /// When the service was last known to be away; none if it never was.
     pub away: Option<Time>,
 }
@@ -48,9 +48,11 @@
     pub fn within(bound: Duration, now: Time, before: LastKnown) -> Self {
         // The word was published after `proved`, so the bound can't end earlier than this.
         let latest = before
-            .proved
+            .confirmed_at
             .map_or(now, |proved| proved + bound - bound / RESERVE);
-        let absent = before.away.is_some_and(|away| Some(away) >= before.proved);
+        let absent = before
+            .away
+            .is_some_and(|away| Some(away) >= before.confirmed_at);
         Self {
             leaving: latest.min(now + bound / LEAVING),
             lapsed: match absent {
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -342,7 +342,7 @@
 /// Grace of news that comes at `now` to a host that last knew `before` that it had everything.
 fn grace(now: Time, before: Option<Time>) -> Grace {
     let before = LastKnown {
-        proved: before,
+        confirmed_at: before,
         away: None,
     };
     Grace::within(BOUND, now, before)
@@ -358,7 +358,7 @@
         assert!(grace.lapsed.max(grace.leaving) <= NOON.max(published + BOUND * 5 / 6));
     }
     let before = LastKnown {
-        proved: Some(NOON),
+        confirmed_at: Some(NOON),
         away: Some(NOON),
     };
     assert_eq!(Grace::within(BOUND, NOON, before).lapsed, NOON + LAPSE);
