--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -179,7 +179,7 @@
     fn grace(&self) -> Grace {
         let before = LastKnown {
             confirmed_at: self.proved.get(),
-            away: self.away.get(),
+            unavailable_at: self.away.get(),
         };
         Grace::within(self.news.bound, self.now(), before)
     }
--- a/crates/lentillift-scatter/src/grace.rs
+++ b/crates/lentillift-scatter/src/grace.rs
@@ -40,7 +40,7 @@
     /// The latest moment at which all that was believed was known to hold; none if nothing was.
     pub confirmed_at: Option<Time>,
     /// When the service was last known to be away; none if it never was.
-    pub away: Option<Time>,
+    pub unavailable_at: Option<Time>,
 }
 
 impl Grace {
@@ -51,7 +51,7 @@
             .confirmed_at
             .map_or(now, |proved| proved + bound - bound / RESERVE);
         let absent = before
-            .away
+            .unavailable_at
             .is_some_and(|away| Some(away) >= before.confirmed_at);
         Self {
             leaving: latest.min(now + bound / LEAVING),
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -343,7 +343,7 @@
 fn grace(now: Time, before: Option<Time>) -> Grace {
     let before = LastKnown {
         confirmed_at: before,
-        away: None,
+        unavailable_at: None,
     };
     Grace::within(BOUND, now, before)
 }
@@ -359,7 +359,7 @@
     }
     let before = LastKnown {
         confirmed_at: Some(NOON),
-        away: Some(NOON),
+        unavailable_at: Some(NOON),
     };
     assert_eq!(Grace::within(BOUND, NOON, before).lapsed, NOON + LAPSE);
 }
