--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -63,7 +63,7 @@
         .delays
         .borrow_mut()
         .note(&Stamp::from(question), host.now());
-    if delay < delay::MOST || !host.is_on(Mechanism::LateQuestions) {
+    if delay < delay::MAX_DELAY || !host.is_on(Mechanism::LateQuestions) {
         return Ok(delay);
     }
     let cause = format!("question {} was held up for {delay:?}", question.id);
--- a/crates/lentillift-scatter/src/delay.rs
+++ b/crates/lentillift-scatter/src/delay.rs
@@ -20,7 +20,7 @@
 const FORGOTTEN_WITHIN: Duration = Duration::from_millis(500);
 
 /// Delay from which a question is declined: half of that time, the rest is for a connection to open.
-pub const MOST: Duration = FORGOTTEN_WITHIN.checked_div(2).expect("two is not zero");
+pub const MAX_DELAY: Duration = FORGOTTEN_WITHIN.checked_div(2).expect("two is not zero");
 
 /// Questions of one host that are remembered.
 const LATEST: usize = 8;
--- a/crates/lentillift-scatter/tests/delays.rs
+++ b/crates/lentillift-scatter/tests/delays.rs
@@ -5,7 +5,7 @@
 use common::MS;
 use lentillift_core::time::Time;
 use lentillift_scatter::delay::Delays;
-use lentillift_scatter::delay::MOST;
+use lentillift_scatter::delay::MAX_DELAY;
 use lentillift_scatter::delay::Stamp;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -52,9 +52,9 @@
         assert!(delay <= MS * 3);
     }
     let delay = ASKER.ask(&mut delays, seconds(220), MS * 540);
-    assert!(delay >= MS * 537 && delay > MOST, "{delay:?}");
+    assert!(delay >= MS * 537 && delay > MAX_DELAY, "{delay:?}");
     let behind = ASKER.ask(&mut delays, seconds(220) + MS * 100, MS * 450);
-    assert!(behind > MOST, "{behind:?}");
+    assert!(behind > MAX_DELAY, "{behind:?}");
     assert_eq!(
         ASKER.ask(&mut delays, seconds(230), Duration::ZERO),
         Duration::ZERO
@@ -98,7 +98,7 @@
         epoch: ASKER.epoch + seconds(4),
         ..ASKER
     };
-    assert!(behind.ask(&mut delays, seconds(210), MS) > MOST);
+    assert!(behind.ask(&mut delays, seconds(210), MS) > MAX_DELAY);
     for n in 0..20 {
         let delay = behind.ask(&mut delays, seconds(212 + n), MS * (n as u32 % 4));
         assert!(delay < MS * 10, "{delay:?}");
