--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -160,7 +160,7 @@
     pub fn reports(&self) -> Vec<Report> {
         let core = self.host.core.borrow();
         match core.options.switches.is_on(Mechanism::Reports) {
-            true => core.book.reports(self.host.now()),
+            true => core.replicas.reports(self.host.now()),
             false => Vec::new(),
         }
     }
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -158,7 +158,7 @@
     /// A number that differs between hosts.
     pub ticket: u64,
     /// What is known of backend servers.
-    pub book: Book,
+    pub replicas: Book,
     /// Other hosts.
     pub hosts: Hosts,
     /// Shards that other hosts were asked for in vain.
@@ -195,7 +195,7 @@
             domain,
             share,
             view: None,
-            book: Book::default(),
+            replicas: Book::default(),
             hosts: Hosts::default(),
             loss: Loss::default(),
             quarantine: quarantine::Table::default(),
@@ -212,7 +212,7 @@
     pub fn adopt(&mut self, view: View) {
         let servers = view.servers.values().flatten();
         let known: HashSet<_> = servers.map(|s| s.entry.id.clone()).collect();
-        self.book.retain(|backend| known.contains(backend));
+        self.replicas.retain(|backend| known.contains(backend));
         self.ledger.retain(|service| {
             view.config.services.contains_key(service) || view.servers.contains_key(service)
         });
@@ -327,7 +327,7 @@
         };
         let ready = |server: &&Arc<Server>| server.last_resort_until.is_none();
         let last = |server: &&Arc<Server>| server.last_resort_until.is_some_and(|at| now < at);
-        let book = &mut self.book;
+        let book = &mut self.replicas;
         let mut best = book.choose(&around, servers.iter().filter(may).filter(ready));
         if best.is_none() && self.options.switches.is_on(Mechanism::LastResort) {
             best = book.choose(&around, servers.iter().filter(may).filter(last));
@@ -345,7 +345,7 @@
 
     /// Whether the server of a choice is left alone for now, and was chosen for want of another.
     pub fn is_down(&mut self, choice: &Choice, now: Time) -> bool {
-        self.book.get(&choice.server.entry.id).is_down(now)
+        self.replicas.get(&choice.server.entry.id).is_down(now)
     }
 
     /// Whether a send to `server` that was decided earlier may still leave.
@@ -430,7 +430,7 @@
 
     /// Notes a send to a backend server.
     pub fn sent(&mut self, number: Number, server: &Server, now: Time) {
-        let replica = self.book.get(&server.entry.id);
+        let replica = self.replicas.get(&server.entry.id);
         replica.sent(number, now);
         if server.cold_until > now {
             replica.sent_cold(now);
@@ -464,6 +464,6 @@
         now: Time,
         load: Option<Load>,
     ) {
-        self.book.get(backend).ended(number, now, sign, load);
+        self.replicas.get(backend).ended(number, now, sign, load);
     }
 }
--- a/crates/lentillift-scatter/src/query/ended.rs
+++ b/crates/lentillift-scatter/src/query/ended.rs
@@ -88,7 +88,7 @@
             Outcome::Failure { load } => (Sign::Failed, *load),
             Outcome::Rejected { load } => (Sign::Rejected, *load),
             Outcome::Misdirected => {
-                core.book.get(&server.entry.id).moved(&server.entry);
+                core.replicas.get(&server.entry.id).moved(&server.entry);
                 (Sign::Misdirected, None)
             }
             Outcome::Unreachable => (Sign::Unreachable, None),
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -40,7 +40,7 @@
             // Another host asks for this shard and can go elsewhere at once, without a repeat. Sent to a
             // server that is slow for good, each of its requests would need one, and the budget of that
             // shard would be gone within a second.
-            let replica = core.book.get(&choice.server.entry.id);
+            let replica = core.replicas.get(&choice.server.entry.id);
             let slow = replica.is_slow(now) && declines;
             let declined = self.plan.near_only && (slow || replica.is_down(now));
             (!declined).then_some(choice)
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -282,7 +282,7 @@
     core.domain = "a".into();
     let down: Backend = "a1".into();
     for number in 0..5 {
-        let replica = core.book.get(&down);
+        let replica = core.replicas.get(&down);
         replica.ended(number, NOON, Sign::Unreachable, None);
     }
     let route = Arc::new(route(scatter(3, 1.0), Kind::Idempotent));
--- a/crates/lentillift-scatter/tests/replicas.rs
+++ b/crates/lentillift-scatter/tests/replicas.rs
@@ -41,7 +41,7 @@
 /// Sends once to `id` and notes how it ended.
 fn exchange(core: &mut Core, id: &str, sent: Time, ended: Time, sign: Sign) {
     let number = core.number();
-    core.book.get(&id.into()).sent(number, sent);
+    core.replicas.get(&id.into()).sent(number, sent);
     core.ended(number, &id.into(), sign, ended, None);
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn a_pause_shows_within_a_few_reply_times() {
     let mut core = pair();
-    core.book.get(&"near".into()).sent(1, NOON);
+    core.replicas.get(&"near".into()).sent(1, NOON);
     assert_eq!(choice(&mut core, NOON + TYPICAL), "near");
     assert_eq!(choice(&mut core, NOON + TYPICAL * 4), "far");
 }
@@ -70,7 +70,7 @@
 fn a_pause_that_is_over_is_forgotten() {
     let mut core = pair();
     for number in 1..=3 {
-        core.book.get(&"near".into()).sent(number, NOON);
+        core.replicas.get(&"near".into()).sent(number, NOON);
     }
     for number in 1..=3 {
         core.ended(number, &"near".into(), slow(15.0), NOON + MS * 150, None);
@@ -140,7 +140,7 @@
         slots: 2,
     };
     let number = core.number();
-    core.book.get(&"near".into()).sent(number, NOON);
+    core.replicas.get(&"near".into()).sent(number, NOON);
     core.ended(
         number,
         &"near".into(),
@@ -175,8 +175,8 @@
     };
     core.share = Share::new(place, Time::ZERO);
     for id in ["near", "far"] {
-        core.book.get(&id.into()).sent(1, NOON);
-        core.book.get(&id.into()).sent(2, NOON);
+        core.replicas.get(&id.into()).sent(1, NOON);
+        core.replicas.get(&id.into()).sent(2, NOON);
     }
     assert_eq!(choice(&mut core, NOON), "none");
 }
@@ -192,9 +192,9 @@
         }
     }
     assert_eq!(choice(&mut core, NOON + MS), "near");
-    core.book.get(&"near".into()).sent(100, NOON + MS);
+    core.replicas.get(&"near".into()).sent(100, NOON + MS);
     assert_eq!(choice(&mut core, NOON + MS * 2), "far");
-    core.book.get(&"far".into()).sent(101, NOON + MS * 2);
+    core.replicas.get(&"far".into()).sent(101, NOON + MS * 2);
     assert_eq!(choice(&mut core, NOON + MS * 3), "none");
 }
 
--- a/crates/lentillift-scatter/tests/reports.rs
+++ b/crates/lentillift-scatter/tests/reports.rs
@@ -47,7 +47,7 @@
     let mut now = from;
     for _ in 0..count {
         let number = host.number();
-        host.book.get(&backend).sent(number, now);
+        host.replicas.get(&backend).sent(number, now);
         now += TYPICAL.mul_f64(slowness);
         host.ended(number, &backend, Sign::Replied { slowness }, now, None);
     }
@@ -69,14 +69,14 @@
 #[test]
 fn a_host_that_was_told_goes_round_a_slow_server() {
     let (witness, now) = witness();
-    let reports = witness.book.reports(now);
+    let reports = witness.replicas.reports(now);
     let [report] = reports.as_slice() else {
         panic!("one server is slow: {reports:?}");
     };
     assert_eq!(&*report.backend, "near0");
     let mut other = host();
     assert_eq!(choice(&mut other, 0, now), "near0");
-    other.book.hear(&reports, now + MS);
+    other.replicas.hear(&reports, now + MS);
     assert_eq!(choice(&mut other, 0, now + MS), "far0");
     assert_eq!(choice(&mut other, 1, now + MS), "near1");
 }
@@ -89,9 +89,9 @@
     let mut hosts = [first, host(), host()];
     let mut now = start;
     for turn in 0..60 {
-        let reports = hosts[turn % 3].book.reports(now);
+        let reports = hosts[turn % 3].replicas.reports(now);
         now += MS * 5;
-        hosts[(turn + 1) % 3].book.hear(&reports, now);
+        hosts[(turn + 1) % 3].replicas.hear(&reports, now);
         now += MS * 95;
     }
     for host in &mut hosts {
@@ -108,7 +108,7 @@
     for shard in 0..SERVERS {
         now = now.max(replies(&mut host, shard, NOON, 4, 9.0));
     }
-    assert_eq!(host.book.reports(now), []);
+    assert_eq!(host.replicas.reports(now), []);
 }
 
 /// A host has asked nobody lately, and is told of a slow server. That it knows of nothing else is no
@@ -117,9 +117,10 @@
 fn word_is_passed_on_by_a_host_that_saw_nothing() {
     let (witness, now) = witness();
     let mut between = host();
-    between.book.hear(&witness.book.reports(now), now);
+    between.replicas.hear(&witness.replicas.reports(now), now);
     let mut last = host();
-    last.book.hear(&between.book.reports(now + MS), now + MS);
+    last.replicas
+        .hear(&between.replicas.reports(now + MS), now + MS);
     assert_eq!(choice(&mut last, 0, now + MS), "far0");
 }
 
@@ -129,9 +130,9 @@
     let (witness, told) = witness();
     let mut other = host();
     let seen = replies(&mut other, 0, told + MS * 100, 2, 1.0);
-    let reports = witness.book.reports(seen);
+    let reports = witness.replicas.reports(seen);
     assert_eq!(reports.len(), 1);
-    other.book.hear(&reports, seen);
+    other.replicas.hear(&reports, seen);
     assert_eq!(choice(&mut other, 0, seen), "near0");
 }
 
@@ -139,11 +140,11 @@
 #[test]
 fn unknown_servers_are_not_kept() {
     let (witness, now) = witness();
-    let mut reports = witness.book.reports(now);
+    let mut reports = witness.replicas.reports(now);
     reports[0].backend = "made-up".into();
     let mut other = host();
-    other.book.hear(&reports, now);
-    assert_eq!(other.book.reports(now), []);
+    other.replicas.hear(&reports, now);
+    assert_eq!(other.replicas.reports(now), []);
 }
 
 /// A server has fallen silent and is left alone for a while by the host that asks it most. Hosts that ask
@@ -154,23 +155,23 @@
     let backend = "near1".into();
     for pause in [0, 0, 400, 800] {
         let number = witness.number();
-        witness.book.get(&backend).sent(number, now);
+        witness.replicas.get(&backend).sent(number, now);
         now += MS * 200;
         witness.ended(number, &backend, Sign::Failed, now, None);
         now += MS * pause;
     }
     let number = witness.number();
-    witness.book.get(&backend).sent(number, now);
+    witness.replicas.get(&backend).sent(number, now);
     witness.ended(number, &backend, Sign::Failed, now, None);
     // By now the share of failures alone would say that it is well again.
     now += MS * 1200;
     for shard in 2..SERVERS {
         replies(&mut witness, shard, now - TYPICAL * 2, 2, 1.0);
     }
-    let reports = witness.book.reports(now);
+    let reports = witness.replicas.reports(now);
     let named = |report: &lentillift_scatter::report::Report| report.backend == backend;
     assert!(reports.iter().any(named), "{reports:?}");
     let mut other = host();
-    other.book.hear(&reports, now);
+    other.replicas.hear(&reports, now);
     assert_eq!(choice(&mut other, 1, now), "far1");
 }
