--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -213,7 +213,7 @@
 pub(crate) fn hear<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
     let accounts: Vec<Account> = accounts.iter().map(Account::from).collect();
     let now = host.clock.now();
-    let new = host.core.borrow_mut().hear(&accounts, now);
+    let new = host.core.borrow_mut().merge_quarantine(&accounts, now);
     if new > 0 {
         debug!(event = "quarantine", from, new, "heard");
         host.quarantine_changed.notify_one();
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -201,7 +201,7 @@
             }
             Event::Hear { host, accounts } => {
                 let now = self.now;
-                self.hosts[host].hear(&accounts, now);
+                self.hosts[host].merge_quarantine(&accounts, now);
                 self.gossip(host);
             }
         }
