--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -289,7 +289,7 @@
         last = now;
         outdated = note_outdated(&host, outdated);
         host.take_place();
-        host.core.borrow_mut().forget(now);
+        host.core.borrow_mut().expire_quarantine(now);
         let expired = host.catalog.borrow_mut().expire(now);
         if expired {
             host.redraw();
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -416,7 +416,7 @@
     }
 
     /// Forgets what is known of requests and led to nothing.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire_quarantine(&mut self, now: Time) {
         self.quarantine.expire(&self.options.quarantine, now);
     }
 
