--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -155,7 +155,7 @@
             let grace = self.grace();
             let mut catalog = self.catalog.borrow_mut();
             let before = catalog.revision();
-            let changes = catalog.learn(now, news, grace, |item| source.decode(item));
+            let changes = catalog.apply(now, news, grace, |item| source.decode(item));
             let revision = catalog.revision();
             drop(catalog);
             let log = |change| tell(change, revision, &provenance);
--- a/crates/lentillift-scatter/src/catalog.rs
+++ b/crates/lentillift-scatter/src/catalog.rs
@@ -128,7 +128,7 @@
     }
 
     /// Takes in news; `decode` says what an item means.
-    pub fn learn<D>(&mut self, now: Time, news: Update, grace: Grace, decode: D) -> Vec<Change>
+    pub fn apply<D>(&mut self, now: Time, news: Update, grace: Grace, decode: D) -> Vec<Change>
     where
         D: Fn(&Item) -> Decoded,
     {
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -88,7 +88,7 @@
 fn told(news: Vec<Update>) -> Catalog {
     let mut catalog = Catalog::default();
     for news in news {
-        catalog.learn(NOON, news, GRACE, decode);
+        catalog.apply(NOON, news, GRACE, decode);
     }
     catalog
 }
@@ -220,7 +220,7 @@
     let mut catalog = told(vec![all(3, vec![put("c", 1, &[1]), put("e-a", 2, &[])])]);
     let view = catalog.view().expect("a configuration is known");
     assert!(view.evacuated.contains("a"));
-    let changed = catalog.learn(NOON, changes(4, vec![gone("e-a", 4)]), GRACE, decode);
+    let changed = catalog.apply(NOON, changes(4, vec![gone("e-a", 4)]), GRACE, decode);
     assert_eq!(changed, [Change::Evacuation("a".into(), false)]);
     let view = catalog.view().expect("a configuration is known");
     assert!(view.evacuated.is_empty());
@@ -232,7 +232,7 @@
 fn followers_get_what_they_miss() {
     let mut catalog = told(vec![all(3, vec![put("c", 1, &[1])])]);
     assert_eq!(catalog.news(3), None);
-    catalog.learn(
+    catalog.apply(
         NOON,
         changes(5, vec![put("b-x", 4, &[1, 0])]),
         GRACE,
@@ -244,13 +244,13 @@
     assert!(matches!(catalog.news(0), Some(Update::All { .. })));
     for revision in 6..2000 {
         let items = vec![put("b-x", revision, &[1, 0])];
-        catalog.learn(NOON, changes(revision, items), GRACE, decode);
+        catalog.apply(NOON, changes(revision, items), GRACE, decode);
     }
     let last = changes(1999, vec![put("b-x", 1999, &[1, 0])]);
     assert_eq!(catalog.news(4), Some(last));
     for revision in 2000..7000 {
         let items = vec![gone(&format!("b-{revision}"), revision)];
-        catalog.learn(NOON, changes(revision, items), GRACE, decode);
+        catalog.apply(NOON, changes(revision, items), GRACE, decode);
     }
     assert!(matches!(catalog.news(1999), Some(Update::All { .. })));
     assert!(matches!(catalog.news(6000), Some(Update::Changes { .. })));
@@ -271,7 +271,7 @@
     assert_eq!(news, changes(9, vec![gone("b-x", 9), new]));
     assert!(matches!(catalog.news(2), Some(Update::All { .. })));
     let mut follower = told(vec![all(3, vec![old, put("b-x", 2, &[1, 0]), y])]);
-    follower.learn(NOON, news, GRACE, decode);
+    follower.apply(NOON, news, GRACE, decode);
     assert_eq!(follower.view(), catalog.view());
 }
 
@@ -304,10 +304,10 @@
         let last = history.len() as u64;
         for (item, told) in history.into_iter().zip(told_at) {
             let revision = item.revision;
-            origin.learn(NOON, changes(revision, vec![item]), GRACE, decode);
+            origin.apply(NOON, changes(revision, vec![item]), GRACE, decode);
             let is_told = told || revision == last;
             if let Some(news) = origin.news(follower.revision()).filter(|_| is_told) {
-                follower.learn(NOON, news, GRACE, decode);
+                follower.apply(NOON, news, GRACE, decode);
             }
         }
         prop_assert_eq!(follower.version(), origin.version());
@@ -333,7 +333,7 @@
         let mut twice = told(vec![changes(last, history.clone())]);
         for place in again {
             let item = history[place % history.len()].clone();
-            twice.learn(NOON, changes(item.revision, vec![item]), GRACE, decode);
+            twice.apply(NOON, changes(item.revision, vec![item]), GRACE, decode);
         }
         prop_assert_eq!(twice.view(), in_order.view());
     }
@@ -382,7 +382,7 @@
     for second in 0..3_u64 {
         let now = NOON + Duration::from_secs(second);
         let news = changes(4 + second, vec![put("b-x", 4 + second, &[1, 1])]);
-        catalog.learn(now, news, grace(now, Some(now)), decode);
+        catalog.apply(now, news, grace(now, Some(now)), decode);
     }
     let view = catalog.view().expect("a configuration is known");
     let until = view.servers["s"][0].last_resort_until;
@@ -418,7 +418,7 @@
                 .map(|(_, item)| item.clone())
                 .collect();
             let revision = news.last().map_or(catalog.revision(), |item| item.revision);
-            catalog.learn(now, changes(revision, news), grace(now, Some(proved)), decode);
+            catalog.apply(now, changes(revision, news), grace(now, Some(proved)), decode);
             proved = now;
             catalog.expire(now);
             let view = catalog.view().expect("a configuration is known");
@@ -444,7 +444,7 @@
     ]);
     let items = vec![put("b-x", 5, &[1, 1]), put("c", 6, &[3])];
     assert_eq!(catalog.news(3), Some(changes(6, items)));
-    catalog.learn(NOON, changes(8, vec![gone("b-x", 8)]), GRACE, decode);
+    catalog.apply(NOON, changes(8, vec![gone("b-x", 8)]), GRACE, decode);
     let items = vec![gone("b-x", 8), put("c", 6, &[3])];
     assert_eq!(catalog.news(4), Some(changes(8, items)));
 }
