--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -250,7 +250,7 @@
         {
             return Ok(Some(told.content.clone()));
         }
-        let Some(news) = self.catalog.borrow().news(after) else {
+        let Some(news) = self.catalog.borrow().update_since(after) else {
             return Ok(None);
         };
         let content = Content::of(news, self.is_on(Mechanism::Packing), "follower")?;
--- a/crates/lentillift-scatter/src/catalog.rs
+++ b/crates/lentillift-scatter/src/catalog.rs
@@ -321,7 +321,7 @@
     }
 
     /// News for a follower that knows everything up to `after`; none if it misses nothing.
-    pub fn news(&self, after: id::Revision) -> Option<Update> {
+    pub fn update_since(&self, after: id::Revision) -> Option<Update> {
         if self.revision == 0 || after >= self.revision {
             return None;
         }
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -231,7 +231,7 @@
 #[test]
 fn followers_get_what_they_miss() {
     let mut catalog = told(vec![all(3, vec![put("c", 1, &[1])])]);
-    assert_eq!(catalog.news(3), None);
+    assert_eq!(catalog.update_since(3), None);
     catalog.apply(
         NOON,
         changes(5, vec![put("b-x", 4, &[1, 0])]),
@@ -239,21 +239,27 @@
         decode,
     );
     let news = changes(5, vec![put("b-x", 4, &[1, 0])]);
-    assert_eq!(catalog.news(3), Some(news));
-    assert!(matches!(catalog.news(2), Some(Update::All { .. })));
-    assert!(matches!(catalog.news(0), Some(Update::All { .. })));
+    assert_eq!(catalog.update_since(3), Some(news));
+    assert!(matches!(catalog.update_since(2), Some(Update::All { .. })));
+    assert!(matches!(catalog.update_since(0), Some(Update::All { .. })));
     for revision in 6..2000 {
         let items = vec![put("b-x", revision, &[1, 0])];
         catalog.apply(NOON, changes(revision, items), GRACE, decode);
     }
     let last = changes(1999, vec![put("b-x", 1999, &[1, 0])]);
-    assert_eq!(catalog.news(4), Some(last));
+    assert_eq!(catalog.update_since(4), Some(last));
     for revision in 2000..7000 {
         let items = vec![gone(&format!("b-{revision}"), revision)];
         catalog.apply(NOON, changes(revision, items), GRACE, decode);
     }
-    assert!(matches!(catalog.news(1999), Some(Update::All { .. })));
-    assert!(matches!(catalog.news(6000), Some(Update::Changes { .. })));
+    assert!(matches!(
+        catalog.update_since(1999),
+        Some(Update::All { .. })
+    ));
+    assert!(matches!(
+        catalog.update_since(6000),
+        Some(Update::Changes { .. })
+    ));
 }
 
 /// The service forgets its history for some seconds, and the reader reads everything each time. A follower
@@ -267,9 +273,9 @@
         all(3, vec![old.clone(), x, y.clone()]),
         all(9, vec![new.clone(), y.clone()]),
     ]);
-    let news = catalog.news(3).expect("it misses something");
+    let news = catalog.update_since(3).expect("it misses something");
     assert_eq!(news, changes(9, vec![gone("b-x", 9), new]));
-    assert!(matches!(catalog.news(2), Some(Update::All { .. })));
+    assert!(matches!(catalog.update_since(2), Some(Update::All { .. })));
     let mut follower = told(vec![all(3, vec![old, put("b-x", 2, &[1, 0]), y])]);
     follower.apply(NOON, news, GRACE, decode);
     assert_eq!(follower.view(), catalog.view());
@@ -306,7 +312,7 @@
             let revision = item.revision;
             origin.apply(NOON, changes(revision, vec![item]), GRACE, decode);
             let is_told = told || revision == last;
-            if let Some(news) = origin.news(follower.revision()).filter(|_| is_told) {
+            if let Some(news) = origin.update_since(follower.revision()).filter(|_| is_told) {
                 follower.apply(NOON, news, GRACE, decode);
             }
         }
@@ -443,8 +449,8 @@
         changes(6, vec![put("c", 6, &[3])]),
     ]);
     let items = vec![put("b-x", 5, &[1, 1]), put("c", 6, &[3])];
-    assert_eq!(catalog.news(3), Some(changes(6, items)));
+    assert_eq!(catalog.update_since(3), Some(changes(6, items)));
     catalog.apply(NOON, changes(8, vec![gone("b-x", 8)]), GRACE, decode);
     let items = vec![gone("b-x", 8), put("c", 6, &[3])];
-    assert_eq!(catalog.news(4), Some(changes(8, items)));
+    assert_eq!(catalog.update_since(4), Some(changes(8, items)));
 }
