--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -79,7 +79,7 @@
     let left = send.left;
     host.dialect.address(request.headers_mut(), backend, left);
     let is_withheld = || is_withheld(host, message, send);
-    let may_leave = || host.core.borrow().may_leave(server, host.now()) && !is_withheld();
+    let may_leave = || host.core.borrow().may_send(server, host.now()) && !is_withheld();
     let exchange = host.pool.exchange(server, kind, request, may_leave);
     match tokio::time::timeout(left + SLACK, exchange).await {
         Ok(Ok(response)) => judge(&host.dialect, message, response),
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -352,7 +352,7 @@
     ///
     /// What goes wrong without it: between the choice and the first byte a connection is opened or the
     /// processor is elsewhere, and news of an evacuation or of the server's leaving comes in.
-    pub fn may_leave(&self, server: &Server, now: Time) -> bool {
+    pub fn may_send(&self, server: &Server, now: Time) -> bool {
         let Some(view) = &self.view else {
             return false;
         };
--- a/crates/lentillift-scatter/tests/replicas.rs
+++ b/crates/lentillift-scatter/tests/replicas.rs
@@ -205,18 +205,18 @@
 fn a_send_that_waited_leaves_only_if_its_server_may_still_be_asked() {
     let mut core = pair();
     let near = server("near", "s0", "a");
-    assert!(core.may_leave(&near, NOON));
-    assert!(!core.may_leave(&server("gone", "s0", "a"), NOON));
+    assert!(core.may_send(&near, NOON));
+    assert!(!core.may_send(&server("gone", "s0", "a"), NOON));
 
     let mut leaving = (*near).clone();
     leaving.last_resort_until = Some(NOON + MS * 10);
     let route = route(scatter(1, 1.0), Kind::Idempotent);
     let mut latest = view(route, vec![Arc::new(leaving)]);
     core.adopt(latest.clone());
-    assert!(core.may_leave(&near, NOON + MS * 9));
-    assert!(!core.may_leave(&near, NOON + MS * 10));
+    assert!(core.may_send(&near, NOON + MS * 9));
+    assert!(!core.may_send(&near, NOON + MS * 10));
 
     latest.evacuated.insert("a".into());
     core.adopt(latest);
-    assert!(!core.may_leave(&near, NOON));
+    assert!(!core.may_send(&near, NOON));
 }
