--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -229,7 +229,7 @@
     }
 
     /// Reply times of the route's sends.
-    pub fn pace(&mut self, route: &Route) -> Pace {
+    pub fn reply_times(&mut self, route: &Route) -> Pace {
         let first = || Pace::first(route.objective);
         match self.paces.get(&route.name) {
             Some(pace) => *pace,
@@ -447,7 +447,7 @@
         now: Time,
         load: Option<Load>,
     ) {
-        let mut pace = self.pace(route);
+        let mut pace = self.reply_times(route);
         let slowness = took.as_secs_f64() / pace.typical.as_secs_f64();
         pace.note(took, self.options.hedge_quantile);
         self.paces.insert(route.name.clone(), pace);
--- a/crates/lentillift-scatter/src/query/again.rs
+++ b/crates/lentillift-scatter/src/query/again.rs
@@ -153,7 +153,7 @@
         now: Time,
         turned: Turned,
     ) -> Option<Choice> {
-        let typical = core.pace(&self.plan.route).typical;
+        let typical = core.reply_times(&self.plan.route).typical;
         let state = &self.legs[leg];
         let view = &self.plan.view;
         let domain = self.plan.near_only.then(|| core.domain.clone());
@@ -172,7 +172,7 @@
     }
 
     fn look_later(&mut self, core: &mut Core, leg: usize, now: Time) -> Vec<Send> {
-        let pause = core.pace(&self.plan.route).typical.max(AGAIN);
+        let pause = core.reply_times(&self.plan.route).typical.max(AGAIN);
         let at = now + pause;
         let in_time = at < self.plan.deadline;
         let single = self.legs.len() == 1 && self.legs[leg].tries.is_empty();
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -29,7 +29,7 @@
 
 impl Query {
     pub(super) fn choices(&self, core: &mut Core, now: Time) -> Vec<Option<Choice>> {
-        let typical = core.pace(&self.plan.route).typical;
+        let typical = core.reply_times(&self.plan.route).typical;
         let view = &self.plan.view;
         let domain = self.plan.near_only.then(|| core.domain.clone());
         let near = |server: &Server| domain.as_ref().is_none_or(|d| server.entry.domain == *d);
@@ -263,7 +263,7 @@
         if self.plan.route.kind == Kind::Once || self.plan.near_only {
             return None;
         }
-        let pace = core.pace(&self.plan.route);
+        let pace = core.reply_times(&self.plan.route);
         let most = self.plan.route.objective.mul_f64(core.options.hedge_by);
         let least = pace.typical.mul_f64(1.3);
         Some(pace.late.min(most).max(least))
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -340,7 +340,7 @@
     let (mut core, route) = pairs(1, 1.0);
     let view = core.view.clone().expect("a view");
     let route = Arc::new(route);
-    let typical = core.pace(&route).typical;
+    let typical = core.reply_times(&route).typical;
     let mut now = NOON;
     for _ in 0..4 {
         let plan = Plan::branch(&route, &view, vec!["s0".into()], now, now + PATIENCE);
