--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -224,7 +224,7 @@
     /// Time after which a reply counts as late, by what this host has seen on the route.
     fn late_after(&self) -> Duration {
         let mut core = self.host.core.borrow_mut();
-        core.reply_times(&self.query.plan().route).late
+        core.reply_times(&self.query.plan().route).hedge_delay
     }
 
     /// The services that a send to another host is for.
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -98,7 +98,7 @@
     /// Median.
     pub typical: Duration,
     /// The quantile after which another replica is asked.
-    pub late: Duration,
+    pub hedge_delay: Duration,
 }
 
 impl Pace {
@@ -106,14 +106,14 @@
         let typical = objective.mul_f64(FIRST_TYPICAL);
         Self {
             typical,
-            late: typical * 2,
+            hedge_delay: typical * 2,
         }
     }
 
     /// Takes in a reply time, moving each quantile by a step for its side.
     fn note(&mut self, took: Duration, quantile: f64) {
         self.typical = quantile::step(self.typical, took, 0.5);
-        self.late = quantile::step(self.late, took, quantile).max(self.typical);
+        self.hedge_delay = quantile::step(self.hedge_delay, took, quantile).max(self.typical);
     }
 }
 
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -266,6 +266,6 @@
         let pace = core.reply_times(&self.plan.route);
         let most = self.plan.route.objective.mul_f64(core.options.hedge_by);
         let least = pace.typical.mul_f64(1.3);
-        Some(pace.late.min(most).max(least))
+        Some(pace.hedge_delay.min(most).max(least))
     }
 }
