--- a/crates/lentillift-gateway/src/flight.rs
+++ b/crates/lentillift-gateway/src/flight.rs
@@ -13,7 +13,7 @@
 use lentillift_scatter::config::Route;
 use lentillift_scatter::leg::Target;
 use lentillift_scatter::outcome::Send;
-use lentillift_scatter::replica::Number;
+use lentillift_scatter::replica::SendId;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,7 +54,7 @@
 
 /// A send that has ended.
 pub(crate) struct Arrival {
-    pub(crate) number: Number,
+    pub(crate) number: SendId,
     pub(crate) leg: usize,
     pub(crate) hop: Hop,
     /// Time since it was sent.
@@ -109,7 +109,7 @@
 /// Waits for what a host still has to tell.
 pub(crate) async fn go_on<D, S>(
     host: Rc<Host<D, S>>,
-    number: Number,
+    number: SendId,
     leg: usize,
     rest: Rest,
 ) -> Arrival
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -25,7 +25,7 @@
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::plan::Plan;
 use lentillift_scatter::query::Query;
-use lentillift_scatter::replica::Number;
+use lentillift_scatter::replica::SendId;
 use lentillift_scatter::report::Report;
 use lentillift_scatter::switch::Mechanism;
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
     flights: Flights,
     message: Rc<Message>,
     authority: Rc<str>,
-    parts: HashMap<Number, Part>,
+    parts: HashMap<SendId, Part>,
     /// What happened to it, for the log.
     notes: String,
     /// Whether it was decided how the request ends.
@@ -171,7 +171,7 @@
     }
 
     /// Takes what a send brought.
-    pub fn take(&mut self, number: Number) -> Option<Part> {
+    pub fn take(&mut self, number: SendId) -> Option<Part> {
         self.parts.remove(&number)
     }
 
@@ -330,7 +330,7 @@
     }
 
     /// Adds what a host brought to what it brought before.
-    fn join(&mut self, number: Number, merged: Merged) {
+    fn join(&mut self, number: SendId, merged: Merged) {
         let empty = || Part {
             content: Content::Merged(Merged::default()),
         };
@@ -364,7 +364,7 @@
 
     fn done(&mut self, next: Next) -> Done {
         self.finished = true;
-        let wanted: Vec<Number> = match &next {
+        let wanted: Vec<SendId> = match &next {
             Next::Answer { sends, .. } => sends.clone(),
             Next::Pass(number) => vec![*number],
             _ => Vec::new(),
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -13,7 +13,7 @@
 use crate::loss::Loss;
 use crate::quantile;
 use crate::replica::Load;
-use crate::replica::Number;
+use crate::replica::SendId;
 use crate::replica::Sign;
 use crate::server::Entry;
 use crate::server::Server;
@@ -173,7 +173,7 @@
     /// Longest time that callers of each route said they would wait.
     patience: HashMap<Arc<str>, Duration>,
     paces: HashMap<Arc<str>, Pace>,
-    next: Number,
+    next: SendId,
 }
 
 /// A replica to send to.
@@ -223,7 +223,7 @@
     }
 
     /// A number for the next send.
-    pub fn number(&mut self) -> Number {
+    pub fn number(&mut self) -> SendId {
         self.next += 1;
         self.next
     }
@@ -429,7 +429,7 @@
     }
 
     /// Notes a send to a backend server.
-    pub fn sent(&mut self, number: Number, server: &Server, now: Time) {
+    pub fn sent(&mut self, number: SendId, server: &Server, now: Time) {
         let replica = self.replicas.get(&server.entry.id);
         replica.sent(number, now);
         if server.cold_until > now {
@@ -440,7 +440,7 @@
     /// Notes a whole reply and how long it took.
     pub fn replied(
         &mut self,
-        number: Number,
+        number: SendId,
         server: &Server,
         route: &Route,
         took: Duration,
@@ -458,7 +458,7 @@
     /// Notes how a send to a backend server ended otherwise.
     pub fn ended(
         &mut self,
-        number: Number,
+        number: SendId,
         backend: &id::Backend,
         sign: Sign,
         now: Time,
--- a/crates/lentillift-scatter/src/leg.rs
+++ b/crates/lentillift-scatter/src/leg.rs
@@ -1,6 +1,6 @@
 //! One shard's part of a request: which sends are under way, and whether one has brought the part.
 
-use crate::replica::Number;
+use crate::replica::SendId;
 use crate::server::Server;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct Try {
     /// Its number.
-    pub number: Number,
+    pub number: SendId,
     /// Where it went.
     pub target: Target,
     /// When it was sent.
@@ -41,7 +41,7 @@
     /// A send is under way, or will be.
     Open,
     /// This send brought the part.
-    Done(Number),
+    Done(SendId),
     /// Nothing was sent that could have arrived.
     Declined,
     /// What was sent brought nothing.
@@ -66,9 +66,9 @@
     /// Whether the request was counted for the budget.
     pub earned: bool,
     /// The send that brought the part.
-    pub done: Option<Number>,
+    pub done: Option<SendId>,
     /// The last send that ended in a failure of the backend server's own.
-    pub failed: Option<Number>,
+    pub failed: Option<SendId>,
     /// When another replica is to be asked.
     pub hedge_at: Option<Time>,
     /// Whether it waits for a canary.
@@ -119,7 +119,7 @@
     }
 
     /// Takes out a send that ended.
-    pub fn take(&mut self, number: Number) -> Option<Try> {
+    pub fn take(&mut self, number: SendId) -> Option<Try> {
         let place = self.tries.iter().position(|sent| sent.number == number)?;
         Some(self.tries.remove(place))
     }
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::leg::Target;
 use crate::replica::Load;
-use crate::replica::Number;
+use crate::replica::SendId;
 use lentillift_core::time::Time;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub struct Send {
     /// Its number.
-    pub number: Number,
+    pub number: SendId,
     /// Where to.
     pub target: Target,
     /// The legs that it is for.
@@ -80,12 +80,12 @@
     /// Answer with the parts that these sends brought.
     Answer {
         /// The sends, in the order of the legs; one that brought several legs is named once.
-        sends: Vec<Number>,
+        sends: Vec<SendId>,
         /// Legs whose part is left out.
         missing: usize,
     },
     /// Pass the backend server's own failure on.
-    Pass(Number),
+    Pass(SendId),
     /// It has not run and will not; say when to come back.
     Refuse(Duration),
     /// It has not run and will not, because it ends the servers that run it; say when to come back.
--- a/crates/lentillift-scatter/src/query.rs
+++ b/crates/lentillift-scatter/src/query.rs
@@ -25,7 +25,7 @@
 use crate::outcome::Next;
 use crate::outcome::Send;
 use crate::plan::Plan;
-use crate::replica::Number;
+use crate::replica::SendId;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::quarantine::Admission;
@@ -71,7 +71,7 @@
     plan: Plan,
     legs: Vec<Leg>,
     /// Sends to other hosts that have not ended.
-    branches: BTreeMap<Number, Branch>,
+    branches: BTreeMap<SendId, Branch>,
     /// Sends that were made as repeats.
     repeats: u32,
     /// Repeats that the budget did not allow.
@@ -188,7 +188,7 @@
     }
 
     fn answer(&self) -> Next {
-        let mut sends: Vec<Number> = self.legs.iter().filter_map(|leg| leg.done).collect();
+        let mut sends: Vec<SendId> = self.legs.iter().filter_map(|leg| leg.done).collect();
         let missing = self.legs.len() - sends.len();
         sends.sort_unstable();
         sends.dedup();
--- a/crates/lentillift-scatter/src/query/ended.rs
+++ b/crates/lentillift-scatter/src/query/ended.rs
@@ -8,7 +8,7 @@
 use crate::outcome::BranchUpdate;
 use crate::outcome::Outcome;
 use crate::outcome::Send;
-use crate::replica::Number;
+use crate::replica::SendId;
 use crate::replica::Sign;
 use crate::server::Server;
 use lentillift_core::time::Time;
@@ -19,7 +19,7 @@
         &mut self,
         core: &mut Core,
         now: Time,
-        number: Number,
+        number: SendId,
         outcome: Outcome,
     ) -> Vec<Send> {
         if let Some(branch) = self.branches.remove(&number) {
@@ -102,7 +102,7 @@
         &mut self,
         core: &mut Core,
         now: Time,
-        number: Number,
+        number: SendId,
         mut branch: Branch,
         outcome: Outcome,
     ) -> Vec<Send> {
@@ -182,7 +182,7 @@
     }
 
     /// Takes in how a send ended after the request was answered.
-    pub fn close(&mut self, core: &mut Core, now: Time, number: Number, outcome: Outcome) {
+    pub fn close(&mut self, core: &mut Core, now: Time, number: SendId, outcome: Outcome) {
         for leg in &mut self.legs {
             leg.hedge_at = None;
         }
--- a/crates/lentillift-scatter/src/replica.rs
+++ b/crates/lentillift-scatter/src/replica.rs
@@ -66,7 +66,7 @@
 const FAILURE_COST: f64 = 20.0;
 
 /// Number of one send, unique within the process.
-pub type Number = u64;
+pub type SendId = u64;
 
 /// What a backend server says of itself in a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 #[derive(Debug, Default)]
 pub struct Replica {
     /// Sends without a reply, and when they were sent; the oldest first.
-    pending: Vec<(Number, Time)>,
+    pending: Vec<(SendId, Time)>,
     /// Reply time compared with the route's ordinary one.
     slowness: f64,
     /// Share of failed requests lately, from 0 to 1.
@@ -131,7 +131,7 @@
     }
 
     /// Notes a send.
-    pub fn sent(&mut self, number: Number, now: Time) {
+    pub fn sent(&mut self, number: SendId, now: Time) {
         self.pending.push((number, now));
         self.used = now;
     }
@@ -152,7 +152,7 @@
     }
 
     /// Notes how a send ended.
-    pub fn ended(&mut self, number: Number, now: Time, sign: Sign, load: Option<Load>) {
+    pub fn ended(&mut self, number: SendId, now: Time, sign: Sign, load: Option<Load>) {
         let sent = self.pending.iter().find(|(pending, _)| *pending == number);
         let sent = sent.map_or(now, |(_, sent)| *sent);
         self.pending.retain(|(pending, _)| *pending != number);
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -23,7 +23,7 @@
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::plan::Plan;
 use lentillift_scatter::query::Query;
-use lentillift_scatter::replica::Number;
+use lentillift_scatter::replica::SendId;
 use lentillift_scatter::share::Place;
 use lentillift_scatter::share::Share;
 use rand::Rng;
@@ -63,13 +63,13 @@
     /// A server has a reply for an attempt.
     Reply {
         attempt: Attempt,
-        number: Number,
+        number: SendId,
         server: String,
     },
     /// A send comes to its end.
     Outcome {
         attempt: Attempt,
-        number: Number,
+        number: SendId,
         outcome: Outcome,
     },
     /// A server's process ends.
@@ -92,7 +92,7 @@
     process: u64,
     up_at: Time,
     /// Sends that it has.
-    has: Vec<(Attempt, Number)>,
+    has: Vec<(Attempt, SendId)>,
 }
 
 struct World {
@@ -230,7 +230,7 @@
         self.gossip(host);
     }
 
-    fn ended(&mut self, attempt: Attempt, number: Number, outcome: Outcome) {
+    fn ended(&mut self, attempt: Attempt, number: SendId, outcome: Outcome) {
         self.step(attempt, |query, core, now| {
             query.ended(core, now, number, outcome)
         });
