--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -96,7 +96,7 @@
         return Told::without(Outcome::Unreachable, "host is not known");
     };
     let asked = host.now();
-    let until = asked + send.left;
+    let until = asked + send.timeout;
     let stamp = Stamp {
         host: host.name.clone(),
         incarnation: host.swim.borrow().own().incarnation,
@@ -109,7 +109,7 @@
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = http::Method::POST;
     *request.uri_mut() = http::Uri::from_static("http://host/v2/branch");
-    let sent = tokio::time::timeout(send.left, host.peers.send(address, request)).await;
+    let sent = tokio::time::timeout(send.timeout, host.peers.send(address, request)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(e)) if e.step == Step::Connect => {
--- a/crates/lentillift-gateway/src/branch/wire.rs
+++ b/crates/lentillift-gateway/src/branch/wire.rs
@@ -122,7 +122,7 @@
         incarnation: stamp.incarnation,
         asked_us: stamp.at.as_micros() as u64,
         first_ms: send.first.as_millis() as u32,
-        left_ms: send.left.as_millis() as u32,
+        left_ms: send.timeout.as_millis() as u32,
     }
 }
 
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -76,7 +76,7 @@
     *request.uri_mut() = message.path.clone();
     *request.headers_mut() = message.headers.clone();
     let backend = &server.entry.id;
-    let left = send.left;
+    let left = send.timeout;
     host.dialect.address(request.headers_mut(), backend, left);
     let is_withheld = || is_withheld(host, message, send);
     let may_leave = || host.core.borrow().may_send(server, host.now()) && !is_withheld();
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -16,7 +16,7 @@
     /// The legs that it is for.
     pub legs: Vec<usize>,
     /// Time until the receiver should give up.
-    pub left: Duration,
+    pub timeout: Duration,
     /// Time until a host that is asked should tell for the first time what it has.
     pub first: Duration,
     /// Whether it repeats an earlier send.
--- a/crates/lentillift-scatter/src/query/doubt.rs
+++ b/crates/lentillift-scatter/src/query/doubt.rs
@@ -77,7 +77,7 @@
         let mut send = self.direct(core, leg, choice.server, now, repeat);
         send.canary = true;
         // Cut short it would say nothing of a server that ends a little later.
-        send.left = self.plan.deadline.saturating_sub(now);
+        send.timeout = self.plan.deadline.saturating_sub(now);
         if let Some(last) = self.legs[leg].tries.last_mut() {
             last.canary = true;
         }
--- a/crates/lentillift-scatter/tests/common/story.rs
+++ b/crates/lentillift-scatter/tests/common/story.rs
@@ -77,10 +77,10 @@
                 Way::Refuses => (MS, Outcome::Unreachable),
                 Way::Breaks(after) => (after, Outcome::Broken),
                 Way::Ends(after) => (after, Outcome::ServerEnded),
-                Way::Hangs => (send.left, Outcome::Broken),
+                Way::Hangs => (send.timeout, Outcome::Broken),
             };
-            let (after, outcome) = match after > send.left {
-                true => (send.left, Outcome::Broken),
+            let (after, outcome) = match after > send.timeout {
+                true => (send.timeout, Outcome::Broken),
                 false => (after, outcome),
             };
             sent.push(id);
