--- a/crates/lentillift-gateway/src/branch/wire.rs
+++ b/crates/lentillift-gateway/src/branch/wire.rs
@@ -121,7 +121,7 @@
         from: stamp.host.to_string(),
         incarnation: stamp.incarnation,
         asked_us: stamp.at.as_micros() as u64,
-        first_ms: send.first.as_millis() as u32,
+        first_ms: send.first_update_after.as_millis() as u32,
         left_ms: send.timeout.as_millis() as u32,
     }
 }
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -18,7 +18,7 @@
     /// Time until the receiver should give up.
     pub timeout: Duration,
     /// Time until a host that is asked should tell for the first time what it has.
-    pub first: Duration,
+    pub first_update_after: Duration,
     /// Whether it repeats an earlier send.
     pub repeat: bool,
     /// Whether it finds out by itself what its request does to a server.
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -48,7 +48,7 @@
         failed: Vec::new(),
         last: false,
     };
-    let now = NOON + send.first;
+    let now = NOON + send.first_update_after;
     let again = query.ended(&mut core, now, send.number, Outcome::Branch(brought));
     let [again] = again.as_slice() else {
         panic!("one more: {again:?}");
@@ -128,7 +128,7 @@
     let lost = |outcome: Outcome| {
         let (mut core, plan) = far_search();
         let (mut query, first) = Query::start(&mut core, plan, NOON);
-        let now = NOON + first[0].first;
+        let now = NOON + first[0].first_update_after;
         query.ended(&mut core, now, first[0].number, outcome);
         core.loss.share(now)
     };
@@ -208,7 +208,7 @@
         let [send] = first.as_slice() else {
             panic!("one send: {first:?}");
         };
-        let arrival = now + send.first + MS * 15;
+        let arrival = now + send.first_update_after + MS * 15;
         let mut again = 0;
         while let Next::Wait(due) = query.next(now)
             && due < arrival
