--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -100,7 +100,7 @@
 fn is_withheld<D, S>(host: &Host<D, S>, message: &Message, send: &Send) -> bool {
     let core = host.core.borrow();
     let verdict = core.verdict(Some(message.fingerprint), host.clock.now());
-    !send.canary && !send.proven && verdict != Verdict::Clear
+    !send.canary && !send.has_reply && verdict != Verdict::Clear
 }
 
 /// Notes that a server's process ended while it had the request.
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -24,7 +24,7 @@
     /// Whether it finds out by itself what its request does to a server.
     pub canary: bool,
     /// Whether a server has answered the request, whatever else is held of it.
-    pub proven: bool,
+    pub has_reply: bool,
 }
 
 /// How a send ended.
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -190,7 +190,7 @@
             first_update_after: Duration::ZERO,
             repeat,
             canary: false,
-            proven: self.is_heard(),
+            has_reply: self.is_heard(),
         }
     }
 
@@ -241,7 +241,7 @@
             first_update_after: patience,
             repeat: false,
             canary: false,
-            proven: self.is_heard(),
+            has_reply: self.is_heard(),
         }
     }
 
