--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -257,7 +257,7 @@
     /// Waits until a send ends, something is due, or the time is `until`.
     pub async fn step(&mut self, until: Time) {
         let now = self.host.now();
-        let until = until.min(self.query.due(now));
+        let until = until.min(self.query.next_wakeup(now));
         let wait = until.saturating_sub(now).max(SHORTEST_WAIT);
         tokio::select! {
             biased;
--- a/crates/lentillift-scatter/src/query.rs
+++ b/crates/lentillift-scatter/src/query.rs
@@ -170,11 +170,11 @@
         if settled || over || hopeless {
             return self.verdict(over);
         }
-        Next::Wait(self.due(now))
+        Next::Wait(self.next_wakeup(now))
     }
 
     /// When to look again if no send ends before.
-    pub fn due(&self, now: Time) -> Time {
+    pub fn next_wakeup(&self, now: Time) -> Time {
         let hedges = self.legs.iter().filter(|leg| leg.done.is_none());
         let hedges = hedges.filter_map(|leg| leg.hedge_at);
         let soft = Some(self.plan.soft).filter(|soft| *soft > now);
