--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -380,7 +380,7 @@
             next,
             parts,
             repeats: self.query.repeats(),
-            unpaid: self.query.unpaid(),
+            unpaid: self.query.repeats_denied(),
             missing,
             notes: std::mem::take(&mut self.notes),
         }
--- a/crates/lentillift-scatter/src/query.rs
+++ b/crates/lentillift-scatter/src/query.rs
@@ -125,7 +125,7 @@
     }
 
     /// Repeats that the budget did not allow.
-    pub fn unpaid(&self) -> u32 {
+    pub fn repeats_denied(&self) -> u32 {
         self.unpaid
     }
 
