--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -396,7 +396,7 @@
             let outcome = told.ended.outcome;
             // What it would send now serves nobody.
             self.query
-                .close(&mut self.host.core.borrow_mut(), now, number, outcome);
+                .ended_after_answer(&mut self.host.core.borrow_mut(), now, number, outcome);
             if let Some(rest) = told.rest {
                 let host = self.host.clone();
                 self.flights
--- a/crates/lentillift-scatter/src/query/ended.rs
+++ b/crates/lentillift-scatter/src/query/ended.rs
@@ -182,7 +182,13 @@
     }
 
     /// Takes in how a send ended after the request was answered.
-    pub fn close(&mut self, core: &mut Core, now: Time, number: SendId, outcome: Outcome) {
+    pub fn ended_after_answer(
+        &mut self,
+        core: &mut Core,
+        now: Time,
+        number: SendId,
+        outcome: Outcome,
+    ) {
         for leg in &mut self.legs {
             leg.hedge_at = None;
         }
