--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -116,7 +116,7 @@
         let deadline = now + left.saturating_sub(delay);
         let told = vec![false; services.len()];
         let plan = Plan::branch(&route, &view, services, now, deadline);
-        let plan = plan.with(message.fingerprint);
+        let plan = plan.with_fingerprint(message.fingerprint);
         Ok(Self {
             run: Run::start(host, plan, Rc::new(message), question.authority.into()),
             first: now + Duration::from_millis(question.first_ms.into()),
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -199,7 +199,7 @@
             &mut core, &mut known, &route, &view, services, arrived, left,
         );
         caller.set(known);
-        plan.with(message.fingerprint)
+        plan.with_fingerprint(message.fingerprint)
     };
     let id = message.id.clone();
     let fingerprint = message.fingerprint;
--- a/crates/lentillift-scatter/src/plan.rs
+++ b/crates/lentillift-scatter/src/plan.rs
@@ -107,7 +107,7 @@
     }
 
     /// The same plan for a request with this content.
-    pub fn with(self, fingerprint: Fingerprint) -> Self {
+    pub fn with_fingerprint(self, fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint: Some(fingerprint),
             ..self
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -221,7 +221,8 @@
             self.now,
             PATIENCE,
         );
-        let (query, sends) = Query::start(core, plan.with(fingerprint(&path)), self.now);
+        let (query, sends) =
+            Query::start(core, plan.with_fingerprint(fingerprint(&path)), self.now);
         self.next += 1;
         let attempt = self.next as Attempt;
         self.queries.insert(attempt, (host, path, query));
--- a/crates/lentillift-scatter/tests/common/mod.rs
+++ b/crates/lentillift-scatter/tests/common/mod.rs
@@ -158,5 +158,5 @@
 ) -> Plan {
     let view = core.view.clone().expect("a view");
     let plan = Plan::new(core, caller, route, &view, services, NOON, left);
-    plan.with(fingerprint("/q/x"))
+    plan.with_fingerprint(fingerprint("/q/x"))
 }
--- a/crates/lentillift-scatter/tests/suspects.rs
+++ b/crates/lentillift-scatter/tests/suspects.rs
@@ -184,7 +184,7 @@
         .ended(&core.options.quarantine, content, end(1), NOON);
     let view = core.view.clone().expect("a view");
     let plan = Plan::branch(&Arc::new(route), &view, names(5), NOON, NOON + PATIENCE);
-    let (query, sends) = Query::start(&mut core, plan.with(content), NOON);
+    let (query, sends) = Query::start(&mut core, plan.with_fingerprint(content), NOON);
     assert!(sends.is_empty(), "{sends:?}");
     assert!(query.states().all(|state| state == State::Declined));
 }
