--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -176,7 +176,7 @@
                 slots: 2,
                 stage: Stage::Ready,
                 cold_for: Duration::ZERO,
-                born: 1,
+                process_start_ms: 1,
             }),
             _ => Decoded::Other,
         }
--- a/crates/lentillift-scatter/src/catalog.rs
+++ b/crates/lentillift-scatter/src/catalog.rs
@@ -238,11 +238,11 @@
     /// Takes in a backend server's account of itself, unless it is of a former process.
     fn admit(&mut self, now: Time, entry: Entry, changes: &mut Vec<Change>) -> Option<Arc<Server>> {
         let start = self.starts.entry(entry.id.clone()).or_default();
-        if entry.born < start.born && entry.born > 0 {
+        if entry.process_start_ms < start.born && entry.process_start_ms > 0 {
             return None;
         }
         let until = self.grace.map_or(now, |grace| grace.leaving);
-        let last_resort_until = start.note(entry.born, entry.stage, until);
+        let last_resort_until = start.note(entry.process_start_ms, entry.stage, until);
         changes.push(Change::Server(entry.id.clone(), entry.stage));
         self.lapsed.remove(&entry.id);
         let cold_until = match entry.cold_for {
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -398,7 +398,11 @@
         now: Time,
     ) {
         if let Some(known) = self.remembers(fingerprint) {
-            let Entry { id, born, .. } = &server.entry;
+            let Entry {
+                id,
+                process_start_ms: born,
+                ..
+            } = &server.entry;
             let process = quarantine::process(id, *born);
             let end = End { process, canary };
             let options = &self.options.quarantine;
--- a/crates/lentillift-scatter/src/replica.rs
+++ b/crates/lentillift-scatter/src/replica.rs
@@ -213,12 +213,12 @@
     /// publishes is away, so that the entry stays. Tried again after each pause, it would be the other
     /// server that gets these requests, beyond what its own service may get.
     pub fn moved(&mut self, entry: &Entry) {
-        self.moved = Some((entry.born, entry.address));
+        self.moved = Some((entry.process_start_ms, entry.address));
     }
 
     /// Whether another server has the address that `entry` tells; until it is published anew, that stays so.
     pub fn has_moved(&self, entry: &Entry) -> bool {
-        self.moved == Some((entry.born, entry.address))
+        self.moved == Some((entry.process_start_ms, entry.address))
     }
 
     /// Whether the server is left alone for now.
--- a/crates/lentillift-scatter/src/server.rs
+++ b/crates/lentillift-scatter/src/server.rs
@@ -34,7 +34,7 @@
     /// When its process started, in milliseconds since 1970; 0 if it did not say.
     ///
     /// It tells an account of an earlier process of the same name, which may arrive late.
-    pub born: u64,
+    pub process_start_ms: u64,
 }
 
 /// A backend server that may be used.
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -264,7 +264,7 @@
     // Published anew, it is asked again.
     let mut latest = (**core.view.as_ref().expect("a view")).clone();
     let mut again = (*server("b2", "s2", "b")).clone();
-    again.entry.born = 2;
+    again.entry.process_start_ms = 2;
     latest.servers.insert("s2".into(), vec![Arc::new(again)]);
     core.adopt(latest);
     let view = core.view.clone().expect("a view");
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -47,7 +47,7 @@
         Some(("e", domain)) => Decoded::Evacuation(domain.into()),
         Some((_, id)) => match value.as_slice() {
             [born, leaving] => Decoded::Server(Entry {
-                born: u64::from(*born),
+                process_start_ms: u64::from(*born),
                 stage: if *leaving == 0 {
                     Stage::Ready
                 } else {
--- a/crates/lentillift-scatter/tests/common/mod.rs
+++ b/crates/lentillift-scatter/tests/common/mod.rs
@@ -96,7 +96,7 @@
         slots: 2,
         stage: Stage::Ready,
         cold_for: Duration::ZERO,
-        born: 1,
+        process_start_ms: 1,
     }
 }
 
