--- a/crates/lentillift-gateway/src/flight.rs
+++ b/crates/lentillift-gateway/src/flight.rs
@@ -79,7 +79,7 @@
     S: Source,
 {
     let began = host.now();
-    let number = send.number;
+    let number = send.id;
     let leg = send.legs.first().copied().unwrap_or_default();
     let hop = Hop::of(&send.target, &host.domain);
     let told = match &send.target {
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub struct Send {
     /// Its number.
-    pub number: SendId,
+    pub id: SendId,
     /// Where to.
     pub target: Target,
     /// The legs that it is for.
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -183,7 +183,7 @@
         });
         state.hedge_at = hedge_at;
         Send {
-            number,
+            id: number,
             target,
             legs: vec![leg],
             timeout: self.left(core, now),
@@ -234,7 +234,7 @@
         let legs = branch.legs.clone();
         self.branches.insert(number, branch);
         Send {
-            number,
+            id: number,
             target,
             legs,
             timeout: self.left(core, now),
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -49,12 +49,12 @@
         last: false,
     };
     let now = NOON + send.first_update_after;
-    let again = query.ended(&mut core, now, send.number, Outcome::Branch(brought));
+    let again = query.ended(&mut core, now, send.id, Outcome::Branch(brought));
     let [again] = again.as_slice() else {
         panic!("one more: {again:?}");
     };
     assert!(matches!(&again.target, Target::Server(s) if &*s.entry.id == "c2"));
-    let failed = query.ended(&mut core, now + MS, again.number, Outcome::Broken);
+    let failed = query.ended(&mut core, now + MS, again.id, Outcome::Broken);
     assert!(failed.is_empty(), "a third server: {failed:?}");
     let rest = BranchUpdate {
         done: vec![2],
@@ -62,9 +62,9 @@
         failed: Vec::new(),
         last: true,
     };
-    query.ended(&mut core, now + MS * 2, send.number, Outcome::Branch(rest));
+    query.ended(&mut core, now + MS * 2, send.id, Outcome::Branch(rest));
     let expected = Next::Answer {
-        sends: vec![send.number],
+        sends: vec![send.id],
         missing: 0,
     };
     assert_eq!(query.next(now + MS * 2), expected);
@@ -77,7 +77,7 @@
     let servers = (0..5).map(|n| server(&format!("b{n}"), &format!("s{n}"), "b"));
     let (mut core, plan) = search_beside(servers.collect());
     let (mut query, first) = Query::start(&mut core, plan.clone(), NOON);
-    let number = first[0].number;
+    let number = first[0].id;
     let direct = query.ended(&mut core, NOON + MS, number, Outcome::Unreachable);
     assert_eq!(direct.len(), 5);
     assert!(
@@ -129,7 +129,7 @@
         let (mut core, plan) = far_search();
         let (mut query, first) = Query::start(&mut core, plan, NOON);
         let now = NOON + first[0].first_update_after;
-        query.ended(&mut core, now, first[0].number, outcome);
+        query.ended(&mut core, now, first[0].id, outcome);
         core.loss.share(now)
     };
     let brought = |declined: Vec<usize>, failed: Vec<usize>| {
@@ -160,7 +160,7 @@
         let (mut query, sends) = Query::start(&mut core, plan.clone(), NOON);
         assert!(!sends.is_empty());
         for send in sends {
-            query.ended(&mut core, NOON, send.number, Outcome::Part { load: None });
+            query.ended(&mut core, NOON, send.id, Outcome::Part { load: None });
         }
     }
     assert!(!core.spend(&"s0".into(), NOON, Purpose::Answer));
@@ -176,7 +176,7 @@
     let plan = Plan::branch(&Arc::new(route), &view, vec!["s0".into()], NOON, deadline);
     let (mut query, sends) = Query::start(&mut core, plan, NOON);
     let rejected = Outcome::Rejected { load: None };
-    let again = query.ended(&mut core, NOON + MS, sends[0].number, rejected);
+    let again = query.ended(&mut core, NOON + MS, sends[0].id, rejected);
     assert!(again.is_empty());
     assert!(query.tick(&mut core, NOON + MS * 500).is_empty());
 }
@@ -223,7 +223,7 @@
             failed: Vec::new(),
             last: true,
         };
-        query.ended(&mut core, now, send.number, Outcome::Branch(brought));
+        query.ended(&mut core, now, send.id, Outcome::Branch(brought));
         query.abandon(&mut core, now);
         last = again;
     }
@@ -257,7 +257,7 @@
                 _ => Outcome::Part { load: None },
             };
             asked += u32::from(outcome == Outcome::Misdirected);
-            sends.extend(query.ended(&mut core, now + MS, send.number, outcome));
+            sends.extend(query.ended(&mut core, now + MS, send.id, outcome));
         }
     }
     assert_eq!(asked, 1);
@@ -303,7 +303,7 @@
     let view = core.view.clone().expect("a view");
     let plan = Plan::branch(&route, &view, names(3), NOON, NOON + PATIENCE);
     let (mut query, first) = Query::start(&mut core, plan, NOON);
-    let number = first[1].number;
+    let number = first[1].id;
     let again = query.ended(&mut core, NOON + MS, number, Outcome::Unreachable);
     assert!(again.is_empty(), "{again:?}");
     let states: Vec<State> = query.states().collect();
@@ -322,12 +322,7 @@
         failed: Vec::new(),
         last: false,
     };
-    let again = query.ended(
-        &mut core,
-        NOON + MS,
-        first[0].number,
-        Outcome::Branch(brought),
-    );
+    let again = query.ended(&mut core, NOON + MS, first[0].id, Outcome::Branch(brought));
     assert_eq!(again.len(), 1, "{again:?}");
     assert_eq!(again[0].legs, [2]);
     assert!(!again[0].repeat, "nothing had been sent for it");
@@ -352,7 +347,7 @@
         };
         now += typical * 8;
         let part = Outcome::Part { load: None };
-        query.ended(&mut core, now, send.number, part);
+        query.ended(&mut core, now, send.id, part);
     }
     panic!("sent to a slow server again and again");
 }
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -257,7 +257,7 @@
             let Target::Server(server) = &send.target else {
                 panic!("no hosts are asked here");
             };
-            let number = send.number;
+            let number = send.id;
             let name = server.entry.id.to_string();
             let arrives = self.now + MS;
             let known = self.servers.get_mut(&name).expect("a server");
--- a/crates/lentillift-scatter/tests/common/story.rs
+++ b/crates/lentillift-scatter/tests/common/story.rs
@@ -85,7 +85,7 @@
             };
             sent.push(id);
             at.push(now - NOON);
-            due.insert((now + after, send.number), outcome);
+            due.insert((now + after, send.id), outcome);
         }
     };
     launch(now, first, &mut due);
--- a/crates/lentillift-scatter/tests/suspects.rs
+++ b/crates/lentillift-scatter/tests/suspects.rs
@@ -149,18 +149,18 @@
         panic!("{first:?}");
     };
     let now = NOON + MS;
-    let held = query.ended(&mut core, now, ends.number, Outcome::ServerEnded);
+    let held = query.ended(&mut core, now, ends.id, Outcome::ServerEnded);
     assert!(held.is_empty(), "{held:?}");
-    let held = query.ended(&mut core, now, waits.number, Outcome::Withheld);
+    let held = query.ended(&mut core, now, waits.id, Outcome::Withheld);
     assert!(held.is_empty(), "{held:?}");
-    let canary = query.ended(&mut core, now, waits_too.number, Outcome::Withheld);
+    let canary = query.ended(&mut core, now, waits_too.id, Outcome::Withheld);
     assert!(
         matches!(canary.as_slice(), [send] if send.canary),
         "{canary:?}"
     );
     let now = NOON + MS * 10;
     let load = None;
-    query.ended(&mut core, now, canary[0].number, Outcome::Part { load });
+    query.ended(&mut core, now, canary[0].id, Outcome::Part { load });
     let sends = query.tick(&mut core, now);
     assert_eq!(sends.len(), 2, "{sends:?}");
     assert!(
