--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -198,7 +198,7 @@
 {
     let reports: Vec<Report> = slow.iter().map(Report::from).collect();
     let now = host.now();
-    let newer = host.core.borrow_mut().replicas.hear(&reports, now);
+    let newer = host.core.borrow_mut().replicas.merge_reports(&reports, now);
     if newer > 0 {
         info!(
             event = "slow",
--- a/crates/lentillift-scatter/src/report.rs
+++ b/crates/lentillift-scatter/src/report.rs
@@ -66,7 +66,7 @@
 
     /// Takes in what another host reports, where it is newer than what is known here; says of how many
     /// servers it was.
-    pub fn hear(&mut self, reports: &[Report], now: Time) -> usize {
+    pub fn merge_reports(&mut self, reports: &[Report], now: Time) -> usize {
         let newer = reports.iter().filter(|report| {
             // One that was never considered here would be kept for ever under a name that a peer made up.
             let replica = self.find(&report.backend);
--- a/crates/lentillift-scatter/tests/reports.rs
+++ b/crates/lentillift-scatter/tests/reports.rs
@@ -76,7 +76,7 @@
     assert_eq!(&*report.backend, "near0");
     let mut other = host();
     assert_eq!(choice(&mut other, 0, now), "near0");
-    other.replicas.hear(&reports, now + MS);
+    other.replicas.merge_reports(&reports, now + MS);
     assert_eq!(choice(&mut other, 0, now + MS), "far0");
     assert_eq!(choice(&mut other, 1, now + MS), "near1");
 }
@@ -91,7 +91,7 @@
     for turn in 0..60 {
         let reports = hosts[turn % 3].replicas.reports(now);
         now += MS * 5;
-        hosts[(turn + 1) % 3].replicas.hear(&reports, now);
+        hosts[(turn + 1) % 3].replicas.merge_reports(&reports, now);
         now += MS * 95;
     }
     for host in &mut hosts {
@@ -117,10 +117,12 @@
 fn word_is_passed_on_by_a_host_that_saw_nothing() {
     let (witness, now) = witness();
     let mut between = host();
-    between.replicas.hear(&witness.replicas.reports(now), now);
+    between
+        .replicas
+        .merge_reports(&witness.replicas.reports(now), now);
     let mut last = host();
     last.replicas
-        .hear(&between.replicas.reports(now + MS), now + MS);
+        .merge_reports(&between.replicas.reports(now + MS), now + MS);
     assert_eq!(choice(&mut last, 0, now + MS), "far0");
 }
 
@@ -132,7 +134,7 @@
     let seen = replies(&mut other, 0, told + MS * 100, 2, 1.0);
     let reports = witness.replicas.reports(seen);
     assert_eq!(reports.len(), 1);
-    other.replicas.hear(&reports, seen);
+    other.replicas.merge_reports(&reports, seen);
     assert_eq!(choice(&mut other, 0, seen), "near0");
 }
 
@@ -143,7 +145,7 @@
     let mut reports = witness.replicas.reports(now);
     reports[0].backend = "made-up".into();
     let mut other = host();
-    other.replicas.hear(&reports, now);
+    other.replicas.merge_reports(&reports, now);
     assert_eq!(other.replicas.reports(now), []);
 }
 
@@ -172,6 +174,6 @@
     let named = |report: &lentillift_scatter::report::Report| report.backend == backend;
     assert!(reports.iter().any(named), "{reports:?}");
     let mut other = host();
-    other.replicas.hear(&reports, now);
+    other.replicas.merge_reports(&reports, now);
     assert_eq!(choice(&mut other, 1, now), "far1");
 }
