--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -58,7 +58,7 @@
     ///
     /// A host sends and reads one after the other, so a search of many shards takes as long as its
     /// slowest host is busy with it.
-    pub direct: usize,
+    pub max_direct: usize,
     /// Figures of quarantine.
     pub quarantine: quarantine::Options,
     /// What an operator has switched off.
@@ -82,7 +82,7 @@
             hedge_quantile: 0.95,
             hedge_by: 0.35,
             branches: true,
-            direct: 32,
+            max_direct: 32,
             quarantine: quarantine::Options::default(),
             switches: Switches::default(),
         }
--- a/crates/lentillift-scatter/src/query/first.rs
+++ b/crates/lentillift-scatter/src/query/first.rs
@@ -103,7 +103,7 @@
 
     /// Legs with a replica here that are too many for one host, by the hosts that share them.
     fn near_groups(&self, core: &Core, legs: Vec<usize>, now: Time) -> Vec<Branch> {
-        let buckets = legs.len().div_ceil(core.options.direct.max(1));
+        let buckets = legs.len().div_ceil(core.options.max_direct.max(1));
         if buckets < 2 || !core.options.switches.is_on(Mechanism::Owners) {
             return Vec::new();
         }
@@ -150,7 +150,9 @@
             let Some(mut group) = best else {
                 break;
             };
-            group.legs.truncate(core.options.direct.max(LEAST_BRANCH));
+            group
+                .legs
+                .truncate(core.options.max_direct.max(LEAST_BRANCH));
             rest.retain(|leg| !group.legs.contains(leg));
             groups.push(group);
         }
