--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -213,7 +213,7 @@
         me,
         tuning.seeds,
         settings.regions.clone(),
-        StdRng::seed_from_u64(incarnation ^ core.ticket),
+        StdRng::seed_from_u64(incarnation ^ core.host_hash),
     );
     Rc::new(Host {
         name: settings.name.clone(),
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -156,7 +156,7 @@
     /// The latest picture; none before the first.
     pub view: Option<Arc<View>>,
     /// A number that differs between hosts.
-    pub ticket: u64,
+    pub host_hash: u64,
     /// What is known of backend servers.
     pub replicas: Book,
     /// Other hosts.
@@ -190,7 +190,7 @@
     pub fn new(options: Options, name: id::Host, domain: id::Domain, share: Share) -> Self {
         Self {
             options,
-            ticket: rendezvous::weight("ticket", &name),
+            host_hash: rendezvous::weight("ticket", &name),
             name,
             domain,
             share,
@@ -319,7 +319,7 @@
             connections: bounds.map_or(1, |bounds| bounds.connections),
             cold_rate: bounds.and_then(|bounds| bounds.cold_rate),
             cold: self.options.cold,
-            ticket: self.ticket,
+            ticket: self.host_hash,
             desperate: false,
         };
         let may = |server: &&Arc<Server>| {
