--- a/crates/lentillift-scatter/tests/replicas.rs
+++ b/crates/lentillift-scatter/tests/replicas.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::MS;
-use common::NOON;
+use common::START;
 use common::core;
 use common::route;
 use common::scatter;
@@ -13,7 +13,7 @@
 use lentillift_scatter::config::Kind;
 use lentillift_scatter::core::Core;
 use lentillift_scatter::replica::Load;
-use lentillift_scatter::replica::Sign;
+use lentillift_scatter::replica::Observation;
 use lentillift_scatter::share::Place;
 use lentillift_scatter::share::Share;
 use std::sync::Arc;
@@ -39,29 +39,29 @@
 }
 
 /// Sends once to `id` and notes how it ended.
-fn exchange(core: &mut Core, id: &str, sent: Time, ended: Time, sign: Sign) {
-    let number = core.number();
-    core.replicas.get(&id.into()).sent(number, sent);
-    core.ended(number, &id.into(), sign, ended, None);
+fn send(core: &mut Core, id: &str, sent: Time, ended: Time, observation: Observation) {
+    let send_id = core.next_send_id();
+    core.replicas.get(&id.into()).sent(send_id, sent);
+    core.ended(send_id, &id.into(), observation, ended, None);
 }
 
-fn slow(factor: f64) -> Sign {
-    Sign::Replied { slowness: factor }
+fn slow(factor: f64) -> Observation {
+    Observation::Replied { slowness: factor }
 }
 
 #[test]
-fn near_when_both_are_alike() {
-    assert_eq!(choice(&mut pair(), NOON), "near");
+fn the_local_replica_is_preferred() {
+    assert_eq!(choice(&mut pair(), START), "near");
 }
 
 /// The near replica stops answering for a moment. A second request shows it after a few ordinary
 /// reply times, long before any timeout; the next ones go elsewhere.
 #[test]
-fn a_pause_shows_within_a_few_reply_times() {
+fn a_pause_is_detected_within_a_few_reply_times() {
     let mut core = pair();
-    core.replicas.get(&"near".into()).sent(1, NOON);
-    assert_eq!(choice(&mut core, NOON + TYPICAL), "near");
-    assert_eq!(choice(&mut core, NOON + TYPICAL * 4), "far");
+    core.replicas.get(&"near".into()).sent(1, START);
+    assert_eq!(choice(&mut core, START + TYPICAL), "near");
+    assert_eq!(choice(&mut core, START + TYPICAL * 4), "far");
 }
 
 /// The pause ends and its requests are answered late, three at once. The server is as fast as before;
@@ -69,22 +69,22 @@
 #[test]
 fn a_pause_that_is_over_is_forgotten() {
     let mut core = pair();
-    for number in 1..=3 {
-        core.replicas.get(&"near".into()).sent(number, NOON);
+    for send_id in 1..=3 {
+        core.replicas.get(&"near".into()).sent(send_id, START);
     }
-    for number in 1..=3 {
-        core.ended(number, &"near".into(), slow(15.0), NOON + MS * 150, None);
+    for send_id in 1..=3 {
+        core.ended(send_id, &"near".into(), slow(15.0), START + MS * 150, None);
     }
-    assert_eq!(choice(&mut core, NOON + MS * 151), "near");
+    assert_eq!(choice(&mut core, START + MS * 151), "near");
 }
 
 /// The near replica is slow for good. After a few replies requests go to the other one.
 #[test]
-fn a_slow_server_is_left() {
+fn a_slow_server_is_avoided() {
     let mut core = pair();
-    let mut now = NOON;
+    let mut now = START;
     for _ in 0..4 {
-        exchange(&mut core, "near", now, now + TYPICAL * 8, slow(8.0));
+        send(&mut core, "near", now, now + TYPICAL * 8, slow(8.0));
         now += TYPICAL * 8;
     }
     assert_eq!(choice(&mut core, now), "far");
@@ -98,10 +98,10 @@
     let mut core = pair();
     let mut tried = 0;
     for tick in 0..80 {
-        let now = NOON + MS * 100 * tick;
+        let now = START + MS * 100 * tick;
         if choice(&mut core, now) == "near" {
             tried += 1;
-            exchange(&mut core, "near", now, now + TYPICAL * 9, slow(9.0));
+            send(&mut core, "near", now, now + TYPICAL * 9, slow(9.0));
         }
     }
     assert!(tried <= 9, "tried {tried} times in eight seconds");
@@ -111,9 +111,9 @@
 #[test]
 fn a_slow_server_is_tried_again() {
     let mut core = pair();
-    let mut now = NOON;
+    let mut now = START;
     for _ in 0..10 {
-        exchange(&mut core, "near", now, now + TYPICAL * 8, slow(8.0));
+        send(&mut core, "near", now, now + TYPICAL * 8, slow(8.0));
         now += TYPICAL * 8;
     }
     assert_eq!(choice(&mut core, now), "far");
@@ -122,46 +122,52 @@
 
 /// The near replica fails part of its requests though its health is good.
 #[test]
-fn a_failing_server_is_left() {
+fn a_failing_server_is_avoided() {
     let mut core = pair();
     for _ in 0..2 {
-        exchange(&mut core, "near", NOON, NOON + MS, Sign::Failed);
+        send(&mut core, "near", START, START + MS, Observation::Failed);
     }
-    assert_eq!(choice(&mut core, NOON + MS * 2), "far");
+    assert_eq!(choice(&mut core, START + MS * 2), "far");
 }
 
 /// The near replica says in a reply that five requests are ahead. What it said is old soon.
 #[test]
-fn a_queue_is_gone_round_while_it_lasts() {
+fn a_queue_is_avoided_while_it_lasts() {
     let mut core = pair();
     let load = Load {
         running: 2,
         waiting: 3,
         slots: 2,
     };
-    let number = core.number();
-    core.replicas.get(&"near".into()).sent(number, NOON);
+    let send_id = core.next_send_id();
+    core.replicas.get(&"near".into()).sent(send_id, START);
     core.ended(
-        number,
+        send_id,
         &"near".into(),
         slow(1.0),
-        NOON + TYPICAL,
+        START + TYPICAL,
         Some(load),
     );
-    assert_eq!(choice(&mut core, NOON + TYPICAL), "far");
-    assert_eq!(choice(&mut core, NOON + MS * 200), "near");
+    assert_eq!(choice(&mut core, START + TYPICAL), "far");
+    assert_eq!(choice(&mut core, START + MS * 200), "near");
 }
 
 /// Nobody listens at the near replica's address. It is left alone, for longer each time, and tried
 /// again.
 #[test]
-fn an_unreachable_server_is_left_alone_for_a_while() {
+fn an_unreachable_server_is_backed_off() {
     let mut core = pair();
-    exchange(&mut core, "near", NOON, NOON, Sign::Unreachable);
-    assert_eq!(choice(&mut core, NOON + MS * 50), "far");
-    assert_eq!(choice(&mut core, NOON + MS * 150), "near");
-    exchange(&mut core, "near", NOON, NOON + MS * 150, Sign::Unreachable);
-    assert_eq!(choice(&mut core, NOON + MS * 300), "far");
+    send(&mut core, "near", START, START, Observation::Unreachable);
+    assert_eq!(choice(&mut core, START + MS * 50), "far");
+    assert_eq!(choice(&mut core, START + MS * 150), "near");
+    send(
+        &mut core,
+        "near",
+        START,
+        START + MS * 150,
+        Observation::Unreachable,
+    );
+    assert_eq!(choice(&mut core, START + MS * 300), "far");
 }
 
 /// Both replicas have more requests under way than this host's part of their connections. One more
@@ -175,10 +181,10 @@
     };
     core.share = Share::new(place, Time::ZERO);
     for id in ["near", "far"] {
-        core.replicas.get(&id.into()).sent(1, NOON);
-        core.replicas.get(&id.into()).sent(2, NOON);
+        core.replicas.get(&id.into()).sent(1, START);
+        core.replicas.get(&id.into()).sent(2, START);
     }
-    assert_eq!(choice(&mut core, NOON), "none");
+    assert_eq!(choice(&mut core, START), "none");
 }
 
 /// Both replicas failed several times and are left alone. One request at a time still finds out
@@ -188,35 +194,35 @@
     let mut core = pair();
     for id in ["near", "far"] {
         for _ in 0..5 {
-            exchange(&mut core, id, NOON, NOON, Sign::Failed);
+            send(&mut core, id, START, START, Observation::Failed);
         }
     }
-    assert_eq!(choice(&mut core, NOON + MS), "near");
-    core.replicas.get(&"near".into()).sent(100, NOON + MS);
-    assert_eq!(choice(&mut core, NOON + MS * 2), "far");
-    core.replicas.get(&"far".into()).sent(101, NOON + MS * 2);
-    assert_eq!(choice(&mut core, NOON + MS * 3), "none");
+    assert_eq!(choice(&mut core, START + MS), "near");
+    core.replicas.get(&"near".into()).sent(100, START + MS);
+    assert_eq!(choice(&mut core, START + MS * 2), "far");
+    core.replicas.get(&"far".into()).sent(101, START + MS * 2);
+    assert_eq!(choice(&mut core, START + MS * 3), "none");
 }
 
 /// A request was to go to a server, and a connection had to be opened first. Meanwhile the server's failure
 /// domain was evacuated, or the server has left for longer than it may be asked. Sent all the same, it
 /// reaches a server that is gone.
 #[test]
-fn a_send_that_waited_leaves_only_if_its_server_may_still_be_asked() {
+fn a_send_that_waited_is_made_only_if_its_server_may_still_be_used() {
     let mut core = pair();
     let near = server("near", "s0", "a");
-    assert!(core.may_send(&near, NOON));
-    assert!(!core.may_send(&server("gone", "s0", "a"), NOON));
+    assert!(core.may_send(&near, START));
+    assert!(!core.may_send(&server("gone", "s0", "a"), START));
 
     let mut leaving = (*near).clone();
-    leaving.last_resort_until = Some(NOON + MS * 10);
+    leaving.last_resort_until = Some(START + MS * 10);
     let route = route(scatter(1, 1.0), Kind::Idempotent);
     let mut latest = view(route, vec![Arc::new(leaving)]);
     core.adopt(latest.clone());
-    assert!(core.may_send(&near, NOON + MS * 9));
-    assert!(!core.may_send(&near, NOON + MS * 10));
+    assert!(core.may_send(&near, START + MS * 9));
+    assert!(!core.may_send(&near, START + MS * 10));
 
     latest.evacuated.insert("a".into());
     core.adopt(latest);
-    assert!(!core.may_send(&near, NOON));
+    assert!(!core.may_send(&near, START));
 }
--- a/crates/lentillift-scatter/tests/reports.rs
+++ b/crates/lentillift-scatter/tests/reports.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::MS;
-use common::NOON;
+use common::START;
 use common::core;
 use common::route;
 use common::scatter;
@@ -12,7 +12,7 @@
 use lentillift_core::time::Time;
 use lentillift_scatter::config::Kind;
 use lentillift_scatter::core::Core;
-use lentillift_scatter::replica::Sign;
+use lentillift_scatter::replica::Observation;
 use std::time::Duration;
 
 const TYPICAL: Duration = Duration::from_millis(10);
@@ -29,7 +29,7 @@
     let route = route(scatter(SERVERS, 1.0), Kind::Idempotent);
     let mut host = core(view(route, servers.collect()));
     for n in 0..SERVERS {
-        choice(&mut host, n, NOON);
+        choice(&mut host, n, START);
     }
     host
 }
@@ -46,30 +46,36 @@
     let backend = format!("near{shard}").as_str().into();
     let mut now = from;
     for _ in 0..count {
-        let number = host.number();
-        host.replicas.get(&backend).sent(number, now);
+        let send_id = host.next_send_id();
+        host.replicas.get(&backend).sent(send_id, now);
         now += TYPICAL.mul_f64(slowness);
-        host.ended(number, &backend, Sign::Replied { slowness }, now, None);
+        host.ended(
+            send_id,
+            &backend,
+            Observation::Replied { slowness },
+            now,
+            None,
+        );
     }
     now
 }
 
 /// A host that has met one slow server and nine that are well.
-fn witness() -> (Core, Time) {
+fn observer() -> (Core, Time) {
     let mut host = host();
     for shard in 1..SERVERS {
-        replies(&mut host, shard, NOON, 2, 1.0);
+        replies(&mut host, shard, START, 2, 1.0);
     }
-    let now = replies(&mut host, 0, NOON, 4, 9.0);
+    let now = replies(&mut host, 0, START, 4, 9.0);
     (host, now)
 }
 
 /// A host with a search a second would find out by itself when the server is well again, and each of
 /// its searches would be late by one part in the meantime.
 #[test]
-fn a_host_that_was_told_goes_round_a_slow_server() {
-    let (witness, now) = witness();
-    let reports = witness.replicas.reports(now);
+fn a_host_with_a_report_avoids_a_slow_server() {
+    let (observer, now) = observer();
+    let reports = observer.replicas.reports(now);
     let [report] = reports.as_slice() else {
         panic!("one server is slow: {reports:?}");
     };
@@ -84,14 +90,14 @@
 /// Three hosts pass the same word around ten times a second. It must not become younger by that: the
 /// server would never be tried again.
 #[test]
-fn word_that_is_passed_around_fades() {
-    let (first, start) = witness();
+fn forwarded_reports_expire() {
+    let (first, start) = observer();
     let mut hosts = [first, host(), host()];
     let mut now = start;
-    for turn in 0..60 {
-        let reports = hosts[turn % 3].replicas.reports(now);
+    for round in 0..60 {
+        let reports = hosts[round % 3].replicas.reports(now);
         now += MS * 5;
-        hosts[(turn + 1) % 3].replicas.merge_reports(&reports, now);
+        hosts[(round + 1) % 3].replicas.merge_reports(&reports, now);
         now += MS * 95;
     }
     for host in &mut hosts {
@@ -102,11 +108,11 @@
 /// A host stands still for some seconds and finds every server slow. Its word would send the whole fleet
 /// to servers in other failure domains.
 #[test]
-fn a_host_that_finds_most_servers_slow_keeps_it_to_itself() {
+fn a_host_that_finds_most_servers_slow_reports_none() {
     let mut host = host();
-    let mut now = NOON;
+    let mut now = START;
     for shard in 0..SERVERS {
-        now = now.max(replies(&mut host, shard, NOON, 4, 9.0));
+        now = now.max(replies(&mut host, shard, START, 4, 9.0));
     }
     assert_eq!(host.replicas.reports(now), []);
 }
@@ -114,12 +120,12 @@
 /// A host has asked nobody lately, and is told of a slow server. That it knows of nothing else is no
 /// reason to keep it to itself: the next host asks this one, not the one that found out.
 #[test]
-fn word_is_passed_on_by_a_host_that_saw_nothing() {
-    let (witness, now) = witness();
+fn reports_are_forwarded_by_a_host_without_observations() {
+    let (observer, now) = observer();
     let mut between = host();
     between
         .replicas
-        .merge_reports(&witness.replicas.reports(now), now);
+        .merge_reports(&observer.replicas.reports(now), now);
     let mut last = host();
     last.replicas
         .merge_reports(&between.replicas.reports(now + MS), now + MS);
@@ -128,21 +134,21 @@
 
 /// The server has recovered and a host has just seen it. Older word must not outweigh that.
 #[test]
-fn what_a_host_saw_itself_just_now_holds() {
-    let (witness, told) = witness();
+fn a_recent_own_observation_overrides_an_older_report() {
+    let (observer, reported_at) = observer();
     let mut other = host();
-    let seen = replies(&mut other, 0, told + MS * 100, 2, 1.0);
-    let reports = witness.replicas.reports(seen);
+    let observed_at = replies(&mut other, 0, reported_at + MS * 100, 2, 1.0);
+    let reports = observer.replicas.reports(observed_at);
     assert_eq!(reports.len(), 1);
-    other.replicas.merge_reports(&reports, seen);
-    assert_eq!(choice(&mut other, 0, seen), "near0");
+    other.replicas.merge_reports(&reports, observed_at);
+    assert_eq!(choice(&mut other, 0, observed_at), "near0");
 }
 
 /// A peer names servers that nobody published. They would fill the memory.
 #[test]
 fn unknown_servers_are_not_kept() {
-    let (witness, now) = witness();
-    let mut reports = witness.replicas.reports(now);
+    let (observer, now) = observer();
+    let mut reports = observer.replicas.reports(now);
     reports[0].backend = "made-up".into();
     let mut other = host();
     other.replicas.merge_reports(&reports, now);
@@ -152,25 +158,25 @@
 /// A server has fallen silent and is left alone for a while by the host that asks it most. Hosts that ask
 /// it once in four seconds would each lose three requests before they do the same.
 #[test]
-fn a_server_that_is_left_alone_is_told_of() {
-    let (mut witness, mut now) = witness();
+fn a_server_that_is_backed_off_is_reported() {
+    let (mut observer, mut now) = observer();
     let backend = "near1".into();
     for pause in [0, 0, 400, 800] {
-        let number = witness.number();
-        witness.replicas.get(&backend).sent(number, now);
+        let send_id = observer.next_send_id();
+        observer.replicas.get(&backend).sent(send_id, now);
         now += MS * 200;
-        witness.ended(number, &backend, Sign::Failed, now, None);
+        observer.ended(send_id, &backend, Observation::Failed, now, None);
         now += MS * pause;
     }
-    let number = witness.number();
-    witness.replicas.get(&backend).sent(number, now);
-    witness.ended(number, &backend, Sign::Failed, now, None);
+    let send_id = observer.next_send_id();
+    observer.replicas.get(&backend).sent(send_id, now);
+    observer.ended(send_id, &backend, Observation::Failed, now, None);
     // By now the share of failures alone would say that it is well again.
     now += MS * 1200;
     for shard in 2..SERVERS {
-        replies(&mut witness, shard, now - TYPICAL * 2, 2, 1.0);
+        replies(&mut observer, shard, now - TYPICAL * 2, 2, 1.0);
     }
-    let reports = witness.replicas.reports(now);
+    let reports = observer.replicas.reports(now);
     let named = |report: &lentillift_scatter::report::Report| report.backend == backend;
     assert!(reports.iter().any(named), "{reports:?}");
     let mut other = host();
--- a/crates/lentillift-scatter/tests/suspects.rs
+++ b/crates/lentillift-scatter/tests/suspects.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::MS;
-use common::NOON;
-use common::story::PATIENCE;
-use common::story::Way;
-use common::story::names;
-use common::story::pairs;
-use common::story::play;
-use common::story::pool;
-use common::story::whole;
+use common::START;
+use common::simulation::Behavior;
+use common::simulation::CALLER_TIMEOUT;
+use common::simulation::is_complete;
+use common::simulation::pairs;
+use common::simulation::pool;
+use common::simulation::service_names;
+use common::simulation::simulate;
 use lentillift_fleet::quarantine::End;
 use lentillift_scatter::caller::Caller;
 use lentillift_scatter::config::Kind;
@@ -29,11 +29,11 @@
         fn $name() {
             let coverage = 0.89;
             let (mut core, route) = pairs(20, coverage);
-            let story = play(&mut core, route, PATIENCE, |_| Way::Ends($after));
-            let replicas = story.sent.iter().filter(|id| id.starts_with('b')).count();
+            let run = simulate(&mut core, route, CALLER_TIMEOUT, |_| Behavior::Ends($after));
+            let replicas = run.sent.iter().filter(|id| id.starts_with('b')).count();
             // What an answer may lack, and two more to find out.
             let allowed = (20.0 * (1.0 - coverage)) as usize + 2;
-            assert!(replicas <= allowed, "{replicas} of {story:?}");
+            assert!(replicas <= allowed, "{replicas} of {run:?}");
         }
     )*};
 }
@@ -46,42 +46,42 @@
 
 /// Requests that were merely there when servers ended. Held for what ended them they would be refused, though
 /// other replicas serve them.
-macro_rules! serves_bystanders {
-    ($($(#[$doc:meta])* $name:ident: $way:expr => $missing:expr;)*) => {$(
+macro_rules! serves_harmless_requests {
+    ($($(#[$doc:meta])* $name:ident: $behavior:expr => $missing:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             let (mut core, route) = pairs(20, 0.9);
             let objective = route.objective;
-            let story = play(&mut core, route.clone(), PATIENCE, $way);
-            let answered = matches!(story.next, Next::Answer { missing: $missing, .. });
-            assert!(answered && story.took < objective, "{story:?}");
-            let again = play(&mut core, route, PATIENCE, |_| Way::Replies(MS * 10));
-            assert!(whole(&again), "{again:?}");
+            let run = simulate(&mut core, route.clone(), CALLER_TIMEOUT, $behavior);
+            let answered = matches!(run.next, Next::Answer { missing: $missing, .. });
+            assert!(answered && run.took < objective, "{run:?}");
+            let again = simulate(&mut core, route, CALLER_TIMEOUT, |_| Behavior::Replies(MS * 10));
+            assert!(is_complete(&again), "{again:?}");
         }
     )*};
 }
 
-serves_bystanders! {
+serves_harmless_requests! {
     one_server_ends: |id| match id {
-        "a7" => Way::Ends(MS * 20),
-        _ => Way::Replies(MS * 10),
+        "a7" => Behavior::Ends(MS * 20),
+        _ => Behavior::Replies(MS * 10),
     } => 0;
     a_server_ends_before_the_first_reply: |id| match id {
-        "a7" => Way::Ends(MS),
-        _ => Way::Replies(MS * 10),
+        "a7" => Behavior::Ends(MS),
+        _ => Behavior::Replies(MS * 10),
     } => 0;
     a_failure_domain_ends_before_the_first_reply: |id| match id.starts_with('a') {
-        true => Way::Ends(MS * 2),
-        false => Way::Replies(MS * 10),
+        true => Behavior::Ends(MS * 2),
+        false => Behavior::Replies(MS * 10),
     } => 0;
     both_replicas_of_a_shard_end: |id| match id {
-        "a7" | "b7" => Way::Ends(MS * 2),
-        _ => Way::Replies(MS * 10),
+        "a7" | "b7" => Behavior::Ends(MS * 2),
+        _ => Behavior::Replies(MS * 10),
     } => 1;
     servers_break_connections_and_live: |id| match id.starts_with('a') {
-        true => Way::Breaks(MS * 2),
-        false => Way::Replies(MS * 10),
+        true => Behavior::Breaks(MS * 2),
+        false => Behavior::Replies(MS * 10),
     } => 0;
 }
 
@@ -90,15 +90,17 @@
 #[test]
 fn a_search_is_served_after_all_servers_ended() {
     let (mut core, route) = pairs(20, 0.9);
-    let story = play(&mut core, route.clone(), PATIENCE, |id| {
+    let run = simulate(&mut core, route.clone(), CALLER_TIMEOUT, |id| {
         match id.starts_with('a') {
-            true => Way::Ends(MS * 2),
-            false => Way::Refuses,
+            true => Behavior::Ends(MS * 2),
+            false => Behavior::Refuses,
         }
     });
-    assert!(!whole(&story), "{story:?}");
-    let again = play(&mut core, route, PATIENCE, |_| Way::Replies(MS * 10));
-    assert!(whole(&again), "{again:?}");
+    assert!(!is_complete(&run), "{run:?}");
+    let again = simulate(&mut core, route, CALLER_TIMEOUT, |_| {
+        Behavior::Replies(MS * 10)
+    });
+    assert!(is_complete(&again), "{again:?}");
 }
 
 /// A request is sent on, each time that its caller comes again, though each server that ran it ended.
@@ -109,13 +111,14 @@
             let (mut core, route) = $world;
             let mut sent = 0;
             for _ in 0..10 {
-                let story = play(&mut core, route.clone(), PATIENCE, |_| Way::Ends(MS * 45));
-                let refused = matches!(story.next, Next::Quarantine(_) | Next::Refuse(_));
-                assert_eq!(refused, story.sent.is_empty(), "{story:?}");
-                sent += story.sent.len();
+                let run =
+                    simulate(&mut core, route.clone(), CALLER_TIMEOUT, |_| Behavior::Ends(MS * 45));
+                let refused = matches!(run.next, Next::Quarantine(_) | Next::Refuse(_));
+                assert_eq!(refused, run.sent.is_empty(), "{run:?}");
+                sent += run.sent.len();
             }
             assert_eq!(sent, $servers);
-            let last = play(&mut core, route, PATIENCE, |_| Way::Replies(MS));
+            let last = simulate(&mut core, route, CALLER_TIMEOUT, |_| Behavior::Replies(MS));
             assert!(matches!(last.next, Next::Quarantine(_)), "{last:?}");
         }
     )*};
@@ -141,14 +144,14 @@
         &mut core,
         &mut Caller::default(),
         &route,
-        names(3),
-        PATIENCE,
+        service_names(3),
+        CALLER_TIMEOUT,
     );
-    let (mut query, first) = Query::start(&mut core, plan, NOON);
+    let (mut query, first) = Query::start(&mut core, plan, START);
     let [ends, waits, waits_too] = first.as_slice() else {
         panic!("{first:?}");
     };
-    let now = NOON + MS;
+    let now = START + MS;
     let held = query.ended(&mut core, now, ends.id, Outcome::ServerEnded);
     assert!(held.is_empty(), "{held:?}");
     let held = query.ended(&mut core, now, waits.id, Outcome::Withheld);
@@ -158,7 +161,7 @@
         matches!(canary.as_slice(), [send] if send.canary),
         "{canary:?}"
     );
-    let now = NOON + MS * 10;
+    let now = START + MS * 10;
     let load = None;
     query.ended(&mut core, now, canary[0].id, Outcome::Part { load });
     let sends = query.tick(&mut core, now);
@@ -181,10 +184,16 @@
     };
     let content = common::fingerprint("/q/x");
     core.quarantine
-        .ended(&core.options.quarantine, content, end(1), NOON);
+        .ended(&core.options.quarantine, content, end(1), START);
     let view = core.view.clone().expect("a view");
-    let plan = Plan::branch(&Arc::new(route), &view, names(5), NOON, NOON + PATIENCE);
-    let (query, sends) = Query::start(&mut core, plan.with_fingerprint(content), NOON);
+    let plan = Plan::branch(
+        &Arc::new(route),
+        &view,
+        service_names(5),
+        START,
+        START + CALLER_TIMEOUT,
+    );
+    let (query, sends) = Query::start(&mut core, plan.with_fingerprint(content), START);
     assert!(sends.is_empty(), "{sends:?}");
     assert!(query.states().all(|state| state == State::Declined));
 }
--- a/crates/lentillift-scatter/tests/switches.rs
+++ b/crates/lentillift-scatter/tests/switches.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::MS;
-use common::NOON;
+use common::START;
 use common::core;
 use common::route;
 use common::scatter;
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn without_repeats_nothing_is_paid_for() {
-    let paid = |off| host(off).spend(&"s0".into(), NOON, Purpose::Answer);
+fn without_repeats_the_budget_denies_all() {
+    let paid = |off| host(off).spend(&"s0".into(), START, Purpose::Answer);
     assert!(paid(""));
     assert!(!paid("repeats"));
 }
@@ -64,8 +64,8 @@
 #[test]
 fn without_partial_answers_a_search_waits_for_its_deadline() {
     let (on, off) = (plan(&mut host("")), plan(&mut host("partial-answers")));
-    assert!(on.soft < on.deadline);
-    assert_eq!(off.soft, off.deadline);
+    assert!(on.soft_deadline < on.deadline);
+    assert_eq!(off.soft_deadline, off.deadline);
 }
 
 #[test]
