--- a/crates/lentillift-scatter/src/delay.rs
+++ b/crates/lentillift-scatter/src/delay.rs
@@ -1,14 +1,14 @@
-//! How long a question of another host was held up on its way.
+//! Estimates how long a request from another host was delayed on its way.
 //!
-//! Pattern: a host asks another for a part of a search, and the question waits: for a lost packet, behind a
-//! link that is full, for a processor that is busy. Meanwhile the caller has left, and the word of that
-//! waits behind the question. A question says how much time is left, not how long it was under way; so
-//! the host that is asked sends the search to its backend servers seconds after anybody wanted it, and
-//! does so just when links and servers have least to spare.
+//! A host asks another for a part of a search, and the request waits: for a lost packet, behind a
+//! saturated link, or for a busy processor. Meanwhile the caller has left, and the cancellation
+//! waits behind the request. The request says how much time is left, not how long it was in
+//! transit. So the receiving host sends the search to its backend servers seconds after anybody
+//! wanted it, and does so just when links and servers have the least spare capacity.
 //!
-//! The clocks of two hosts have nothing in common but their pace. A question says when it was asked by its
-//! host's clock; the least difference from the clock here among the latest ones belongs to one that was
-//! not held up, and what another has beyond that is its delay.
+//! The clocks of two hosts share only their rate. A request carries its send time by the sender's
+//! clock; the least difference from the local clock among recent requests belongs to one that was
+//! not delayed, and what another has on top of that is its delay.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -16,64 +16,64 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time after which a search that nobody wants any more should reach no backend server.
+/// Time after which an abandoned search should reach no more backend servers.
 const ABANDONED_SEND_LIMIT: Duration = Duration::from_millis(500);
 
-/// Delay from which a question is declined: half of that time, the rest is for a connection to open.
+/// Delay from which a request is declined: half of that time; the rest is for opening a connection.
 pub const MAX_DELAY: Duration = ABANDONED_SEND_LIMIT
     .checked_div(2)
     .expect("two is not zero");
 
-/// Questions of one host that are remembered.
+/// Number of recent requests kept for each host.
 const MAX_SAMPLES: usize = 8;
 
-/// How long they are remembered; clocks part by some milliseconds meanwhile.
+/// How long they are kept; clocks drift apart by some milliseconds in that time.
 const MAX_SAMPLE_AGE: Duration = Duration::from_secs(60);
 
-/// Hosts beyond which those that have not asked for [`MAX_SAMPLE_AGE`] are forgotten.
+/// Number of hosts above which those without a request in the last [`MAX_SAMPLE_AGE`] are dropped.
 const MAX_SENDERS: usize = 1024;
 
-/// Difference between two delays that counts as none.
+/// Difference between two offsets that counts as equal.
 const OFFSET_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Time between two questions that the same hindrance hardly delays by the same.
+/// Time between two requests that one cause is unlikely to delay by the same amount.
 const INDEPENDENT_AFTER: Duration = Duration::from_secs(1);
 
-/// When a question was asked.
+/// When a request was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stamp {
-    /// Who asked.
+    /// The host that sent it.
     pub host: id::Host,
-    /// Its process: each has a clock of its own.
+    /// The sending process; each has a clock of its own.
     pub incarnation: id::Incarnation,
-    /// The time by its clock.
+    /// Send time by the sender's clock.
     pub at: Time,
 }
 
-/// A question that came.
+/// A received request.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     received: Time,
-    /// Difference between the clocks and the way, in microseconds.
+    /// Difference between the clocks plus the time in transit, in microseconds.
     offset: i64,
 }
 
-/// Questions of one process.
+/// Recent requests of one process.
 #[derive(Debug, Default)]
 struct Sender {
     incarnation: id::Incarnation,
-    // INVARIANT: Never longer than `MAX_SAMPLES`, in the order in which they came.
+    // INVARIANT: At most `MAX_SAMPLES` long, in order of arrival.
     samples: VecDeque<Sample>,
 }
 
-/// What is known of the clocks of hosts that ask.
+/// Clock offsets of the hosts that send requests.
 #[derive(Debug, Default)]
 pub struct Delays {
     senders: HashMap<id::Host, Sender>,
 }
 
 impl Delays {
-    /// Takes in a question that came at `now`; says how long it was held up, zero if that can't be told.
+    /// Adds a request received at `now`; returns its delay, zero if it can't be determined.
     pub fn note(&mut self, stamp: &Stamp, now: Time) -> Duration {
         if self.senders.len() > MAX_SENDERS {
             self.senders.retain(|_, sender| sender.is_active(now));
@@ -94,11 +94,13 @@
 }
 
 impl Sender {
+    /// Whether a request has come within the last [`MAX_SAMPLE_AGE`].
     fn is_active(&self, now: Time) -> bool {
         let last = self.samples.back();
         last.is_some_and(|last| now.saturating_sub(last.received) < MAX_SAMPLE_AGE)
     }
 
+    /// Adds a sample; returns the delay of its request.
     fn note(&mut self, sample: Sample) -> Duration {
         self.samples
             .retain(|other| sample.received.saturating_sub(other.received) < MAX_SAMPLE_AGE);
@@ -114,8 +116,8 @@
         Duration::from_micros(sample.offset.saturating_sub(least).unsigned_abs())
     }
 
-    /// Whether the asker's clock stood still, as while its machine was suspended: from then on all its
-    /// questions seem to be late by the same.
+    /// Whether the sender's clock stopped for a while, as when its machine is suspended: from then
+    /// on all its requests appear late by the same amount.
     fn clock_stopped(&self, sample: Sample) -> bool {
         let Some(last) = self.samples.back() else {
             return false;
--- a/crates/lentillift-scatter/src/host.rs
+++ b/crates/lentillift-scatter/src/host.rs
@@ -1,8 +1,8 @@
-//! Other hosts that can be asked for the shards of their failure domain.
+//! Chooses among the other hosts that can be asked for the shards of their failure domain.
 //!
-//! Pattern: one host is frozen, cut off or busy, and every search that is sent through it is late.
-//! A host that was late once is left alone for a while, and its failure domain is asked through
-//! another; without this module each search would have to find out by itself.
+//! When one host is frozen, partitioned or busy, every search that is sent through it is late. A
+//! host that was late once is avoided for a while, and its failure domain is reached through
+//! another; without this, each search would have to detect the slow host by itself.
 
 use crate::quantile;
 use lentillift_core::id;
@@ -11,37 +11,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a host that was late is left alone: as long as a freeze or a restart lasts.
+/// How long a late host is avoided: the duration of a typical freeze or restart.
 const AVOID_FOR: Duration = Duration::from_secs(2);
 
-/// Time that the way to another host and back takes, with its work, before any has answered: two round
-/// trips within a region, and as much again for a host that is busy.
+/// Reply delay that is assumed before any host has answered: two round trips within a region, and
+/// as much again for a busy host.
 const INITIAL_REPLY_DELAY: Duration = Duration::from_millis(8);
 
-/// Part of the answers that come within the time that is allowed for the way.
+/// Quantile of the reply delays that counts as on time.
 ///
-/// A search has three to seven answers, so one of them may be asked for again in vain, and a
-/// host that stands still is noticed within a few milliseconds of the usual time.
+/// A search has three to seven replies from hosts, so one of them may be retried needlessly, and a
+/// stopped host is detected within a few milliseconds of the usual delay.
 const REPLY_DELAY_QUANTILE: f64 = 0.9;
 
 /// One of the parts into which the shards of a search are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bucket {
-    /// Its number, from 0.
+    /// Number of the part, from 0.
     pub number: usize,
-    /// How many there are.
+    /// Total number of parts.
     pub of: usize,
 }
 
 impl Bucket {
-    /// The bucket of a service, the same on all hosts.
+    /// Returns the bucket of a service, which is the same on all hosts.
     pub fn of(service: &str, of: usize) -> Self {
         let number = (rendezvous::weight("bucket", service) % of.max(1) as u64) as usize;
         Self { number, of }
     }
 }
 
-/// Another host.
+/// State of another host.
 #[derive(Debug, Default)]
 struct Host {
     domain: id::Domain,
@@ -50,11 +50,11 @@
     avoid_until: Time,
 }
 
-/// The other hosts.
+/// The other hosts of the fleet.
 #[derive(Debug)]
 pub struct Hosts {
     known: BTreeMap<id::Host, Host>,
-    /// Time that the way to a host and back takes, with its work.
+    /// Estimated delay of a reply: the round trip to a host plus its processing time.
     reply_delay: Duration,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Hosts {
-    /// Takes in which hosts are alive, and their failure domains.
+    /// Replaces the set of live hosts, with their failure domains; keeps the state of known ones.
     pub fn update<I>(&mut self, alive: I)
     where
         I: IntoIterator<Item = (id::Host, id::Domain)>,
@@ -80,7 +80,8 @@
         }
     }
 
-    /// The host to ask in `domain`: the least busy one, and of these the one used least recently.
+    /// Returns the host to ask in `domain`: the one with the fewest sends in flight, then the least
+    /// recently used.
     pub fn choose(&self, domain: &str, now: Time) -> Option<id::Host> {
         let candidates = self
             .known
@@ -90,11 +91,11 @@
         best.map(|(name, _)| name.clone())
     }
 
-    /// The host to ask in `domain` for the shards of one of `buckets` parts; none if `me` should do
-    /// it itself.
+    /// Returns the host to ask in `domain` for the shards of a bucket; none if this host, `me`,
+    /// should ask for them itself.
     ///
-    /// All hosts of a failure domain rank the hosts of a bucket alike, so each backend server is asked
-    /// by one of them: that needs fewer connections, and shows its pauses sooner.
+    /// All hosts of a failure domain rank the hosts of a bucket alike, so each backend server is
+    /// asked by only one of them. That needs fewer connections and reveals its pauses sooner.
     pub fn owner(&self, domain: &str, me: &str, bucket: Bucket, now: Time) -> Option<id::Host> {
         let key = format!("{}/{}", bucket.number, bucket.of);
         let candidates = self
@@ -109,14 +110,14 @@
         (owner != me).then(|| owner.into())
     }
 
-    /// When a host was last asked.
+    /// Returns when a host was last asked.
     pub fn last_used(&self, name: &str) -> Time {
         self.known
             .get(name)
             .map_or(Time::ZERO, |host| host.last_used)
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub fn sent(&mut self, name: &str, now: Time) {
         if let Some(host) = self.known.get_mut(name) {
             host.pending += 1;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Notes that a send ended, with an answer or without.
+    /// Records that a send ended; a host that did not answer is avoided for a while.
     pub fn ended(&mut self, name: &str, now: Time, answered: bool) {
         if let Some(host) = self.known.get_mut(name) {
             host.pending = host.pending.saturating_sub(1);
@@ -134,17 +135,17 @@
         }
     }
 
-    /// Notes an answer that came `late` after the moment at which it was due to be sent.
+    /// Adds a reply that came `late` after the time at which it was due to be sent.
     pub fn note_reply_delay(&mut self, late: Duration) {
         self.reply_delay = quantile::step(self.reply_delay, late, REPLY_DELAY_QUANTILE);
     }
 
-    /// Time after which an answer that was due to be sent is missed.
+    /// Returns the delay after which a reply that was due to be sent counts as late.
     pub fn reply_delay(&self) -> Duration {
         self.reply_delay
     }
 
-    /// Leaves a host alone for a while.
+    /// Avoids a host for a while.
     pub fn avoid(&mut self, name: &str, now: Time) {
         if let Some(host) = self.known.get_mut(name) {
             host.avoid_until = now + AVOID_FOR;
--- a/crates/lentillift-scatter/src/quantile.rs
+++ b/crates/lentillift-scatter/src/quantile.rs
@@ -1,14 +1,15 @@
-//! Following a quantile of times that are measured one by one, without keeping them.
+//! Tracks a quantile of a stream of durations without storing the samples.
 
 use std::time::Duration;
 
-/// Step by which an estimate moves; a hundred samples settle it.
+/// Relative step of the estimate; it settles after about a hundred samples.
 const STEP: f64 = 0.04;
 
-/// Least estimate; from zero it would never rise again.
+/// Minimum estimate; an estimate of zero could never rise again.
 const MIN_ESTIMATE: Duration = Duration::from_micros(200);
 
-/// Moves `estimate` towards the time that the share `quantile` of the samples stays below.
+/// Moves `estimate` one step towards the duration that the fraction `quantile` of the samples stays
+/// below.
 pub fn step(estimate: Duration, sample: Duration, quantile: f64) -> Duration {
     let factor = match sample > estimate {
         true => 1.0 + STEP * quantile,
--- a/crates/lentillift-scatter/src/replica.rs
+++ b/crates/lentillift-scatter/src/replica.rs
@@ -1,12 +1,12 @@
-//! What this host knows of one backend server, and how long its next reply will take.
+//! State of one backend server as seen by this host, and an estimate of its next reply time.
 //!
-//! Pattern: of two replicas one is slow, paused, full or failing while its health reports are good.
-//! Without this module half of the requests go to it. What tells is the replies themselves: how long
-//! they took compared with others on the same route, what they say of the server's queue, and above
-//! all how long the oldest request without a reply has been waiting: a paused server shows after two
-//! ordinary reply times, long before any timeout.
+//! A replica may be slow, paused, full or failing while its health reports are good; without this
+//! module half of the requests would still go to it. The evidence is the replies themselves: their
+//! time relative to others on the same route, the queue length they report, and above all how long
+//! the oldest request in flight has been waiting. A paused server is detected after two typical
+//! reply times, long before any timeout.
 //!
-//! Grounds for the figures stand beside them.
+//! The reasons for the constants are given at each of them.
 
 use crate::limit;
 use crate::report::Report;
@@ -19,78 +19,79 @@
 /// Weight of one reply in a server's slowness; three replies make up most of it.
 const WEIGHT: f64 = 0.3;
 
-/// Largest slowness that one reply can show.
+/// Maximum slowness that a single reply can show.
 ///
-/// One very long reply is the mark of a pause, after which the server is as fast as before; it must
-/// not send the requests of the next seconds to another failure domain. Three in a row do.
+/// One very long reply indicates a pause, after which the server is as fast as before; it must
+/// not move the requests of the next seconds to another failure domain. Three in a row do.
 const MAX_SLOWNESS: f64 = 3.0;
 
-/// Largest slowness that a reply of a server that was slow just before can show.
+/// Maximum slowness that a reply can show if the server was already slow just before.
 ///
-/// A server that works ten times as long and is tried again as soon as one that works twice as long
-/// costs a late part every half second; held for as slow as it is, one in two to four seconds.
+/// A server that is ten times slower but is retried as often as one that is twice as slow costs a
+/// late part every half second; with its full slowness recorded, one in two to four seconds.
 const MAX_KNOWN_SLOWNESS: f64 = 12.0;
 
-/// Age up to which what was learnt counts as learnt just before: twice [`HALF_LIFE`], in which each server
+/// Age up to which an observation counts as recent: twice [`HALF_LIFE`], in which each server
 /// gets several requests.
 const RECENT: Duration = Duration::from_secs(3);
 
-/// Time after which half of what was learnt about a server is forgotten.
+/// Half-life of what was observed of a server.
 ///
 /// A server that recovered has to be tried again; a slow one costs one hedged request each time.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
 
-/// Time for which a server's account of its queue holds: several request times.
+/// Time for which a reported load is valid: several request times.
 const LOAD_VALID_FOR: Duration = Duration::from_millis(100);
 
-/// Ordinary reply times after which a request without a reply makes its server suspect.
+/// Number of typical reply times after which a request in flight makes its server suspect.
 const STALL_FACTOR: f64 = 2.5;
 
-/// Pause after a server could not be reached, doubled each time up to [`MAX_BACKOFF`].
+/// Back-off after a server could not be reached, doubled each time up to [`MAX_BACKOFF`].
 const BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest pause after a server could not be reached.
+/// Maximum back-off after a server could not be reached.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 
-/// Slowness from which a server counts as slow: it takes two replies that did not wait through the same
-/// pause.
+/// Slowness from which a server counts as slow: it takes two replies that did not wait through the
+/// same pause.
 const SLOW_THRESHOLD: f64 = 2.0;
 
-/// Share of failures from which a server counts as failing: two in a row.
+/// Fraction of failures from which a server counts as failing: two in a row.
 const FAILING_THRESHOLD: f64 = 0.5;
 
-/// Unanswered or failed requests in a row after which a server is left alone for a while.
+/// Number of consecutive failed or unanswered requests after which a server is backed off.
 const MAX_FAILURES: u32 = 3;
 
-/// What a failed request costs the choice, in ordinary reply times, at a failure rate of 1.
+/// Cost of a failed request in the choice of a replica, in typical reply times, at a failure rate
+/// of 1.
 const FAILURE_COST: f64 = 20.0;
 
-/// Number of one send, unique within the process.
+/// Id of one send, unique within the process.
 pub type SendId = u64;
 
-/// What a backend server says of itself in a reply.
+/// Load that a backend server reports in a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that can run at a time.
+    /// Requests that can run at the same time.
     pub slots: u32,
 }
 
-/// What this host knows of one backend server.
+/// State of one backend server as seen by this host.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Sends without a reply, and when they were sent; the oldest first.
+    /// Sends in flight and when they were sent; the oldest first.
     pending: Vec<(SendId, Time)>,
-    /// Reply time compared with the route's ordinary one.
+    /// Moving average of the reply time relative to the route's typical one.
     slowness: f64,
-    /// Share of failed requests lately, from 0 to 1.
+    /// Moving average of the fraction of failed requests, from 0 to 1.
     failing: f64,
     /// When the last reply or failure came.
     observed_at: Time,
-    /// Whether that came from another host.
+    /// Whether the last observation came from another host.
     is_from_peer: bool,
     /// When the last slow reply came.
     slow_at: Time,
@@ -99,59 +100,59 @@
     backed_off_until: Option<Time>,
     cold: limit::RecentSends,
     last_used: Time,
-    /// The process and address at which another server answered.
+    /// Process start and address of the entry at whose address another server answered.
     reused_address: Option<(u64, SocketAddr)>,
 }
 
-/// How a send ended, as far as it tells something of the server.
+/// What the end of a send says about the server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Observation {
-    /// A whole reply.
+    /// A complete reply.
     Replied {
-        /// Compared with the route's ordinary reply time.
+        /// Reply time relative to the route's typical one.
         slowness: f64,
     },
-    /// It was turned away: the server is full.
+    /// The request was rejected: the server is full.
     Rejected,
-    /// It failed, or no reply came in time.
+    /// The request failed, or no reply came in time.
     Failed,
     /// No connection could be opened.
     Unreachable,
     /// Another server has the address.
     Misdirected,
-    /// Nothing is known: this host gave up on it.
+    /// Nothing: this host gave up on the send.
     Abandoned,
 }
 
 impl Replica {
-    /// Part of what was learnt that still holds.
+    /// Returns the weight that the last observation still has.
     fn weight(&self, now: Time) -> f64 {
         let age = now.saturating_sub(self.observed_at).as_secs_f64();
         0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub fn sent(&mut self, send_id: SendId, now: Time) {
         self.pending.push((send_id, now));
         self.last_used = now;
     }
 
-    /// Notes a send to a cold server.
+    /// Records a send while the server is cold.
     pub fn sent_cold(&mut self, now: Time) {
         self.cold.note(now);
     }
 
-    /// Requests sent to it lately while it was cold.
+    /// Returns the number of recent sends while it was cold.
     pub fn cold_sends(&mut self, now: Time) -> usize {
         self.cold.count(now)
     }
 
-    /// When it was last sent to.
+    /// Returns when it was last sent to.
     pub fn last_used(&self) -> Time {
         self.last_used
     }
 
-    /// Notes how a send ended.
+    /// Records how a send ended.
     pub fn ended(
         &mut self,
         send_id: SendId,
@@ -177,7 +178,7 @@
         match observation {
             Observation::Replied { slowness: sample } => {
                 self.slowness = slowness;
-                // Requests that waited through the same pause tell of it once.
+                // Requests that waited through the same pause count as slow only once.
                 if sample < MAX_SLOWNESS || sent >= self.slow_at {
                     let sample = sample.clamp(0.3, max_slowness);
                     self.slowness = slowness + WEIGHT * (sample - slowness);
@@ -211,34 +212,37 @@
         self.is_from_peer = false;
     }
 
+    /// Backs off for a time that doubles with each consecutive failure.
     fn back_off(&mut self, now: Time) {
         let doublings = self.failures.saturating_sub(1).min(4);
         let back_off = (BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
         self.backed_off_until = Some(now + back_off);
     }
 
-    /// Notes that another server answered at the address that `entry` tells.
+    /// Records that another server answered at the address in `entry`.
     ///
-    /// What goes wrong without it: a server is gone, another one has its address, and the service that
-    /// publishes is away, so that the entry stays. Tried again after each pause, it would be the other
-    /// server that gets these requests, beyond what its own service may get.
+    /// This happens when a server is gone, another one has its address, and the publishing service
+    /// is unavailable, so that the entry stays. If it were retried after each back-off, the other
+    /// server would get these requests on top of what its own service may get.
     pub fn note_reused_address(&mut self, entry: &Entry) {
         self.reused_address = Some((entry.process_start_ms, entry.address));
     }
 
-    /// Whether another server has the address that `entry` tells; until it is published anew, that stays so.
+    /// Whether another server has the address in `entry`; remains so until the server is published
+    /// anew.
     pub fn has_reused_address(&self, entry: &Entry) -> bool {
         self.reused_address == Some((entry.process_start_ms, entry.address))
     }
 
-    /// Whether the server is left alone for now.
+    /// Whether the server is backed off.
     pub fn is_backed_off(&self, now: Time) -> bool {
         self.backed_off_until.is_some_and(|until| now < until)
     }
 
-    /// Whether replies have shown lately that the server is slow or fails, beyond a pause or a queue.
+    /// Whether recent replies show that the server is slow or failing, beyond a pause or a queue.
     pub fn is_slow(&self, now: Time) -> bool {
-        // Asked for every server with every answer to another host, and most never were slow.
+        // Called for every server with every reply to another host; most servers never were slow, so
+        // this skips the computation for them.
         if self.slowness < SLOW_THRESHOLD && self.failing < FAILING_THRESHOLD {
             return false;
         }
@@ -247,27 +251,27 @@
         excess >= SLOW_THRESHOLD - 1.0 || self.failing * weight >= FAILING_THRESHOLD
     }
 
-    /// Whether this host has itself learnt anything of it lately.
+    /// Whether this host itself has observed it recently.
     pub(crate) fn is_observed(&self, now: Time) -> bool {
         !self.is_from_peer && self.observed_at > Time::ZERO && now <= self.observed_at + RECENT
     }
 
-    /// Whether what is known of it came from another host.
+    /// Whether the last observation came from another host.
     pub(crate) fn is_from_peer(&self) -> bool {
         self.is_from_peer
     }
 
-    /// Whether it failed several times in a row and is left alone for that.
+    /// Whether it is backed off for several consecutive failures.
     fn failed_repeatedly(&self, now: Time) -> bool {
         self.failures >= MAX_FAILURES && self.is_backed_off(now)
     }
 
-    /// Whether other hosts should know of it.
+    /// Whether it should be reported to other hosts.
     pub(crate) fn is_reportable(&self, now: Time) -> bool {
         self.is_slow(now) || self.failed_repeatedly(now)
     }
 
-    /// What other hosts should know of it.
+    /// Returns what to report to other hosts.
     pub(crate) fn report(&self, backend: &id::Backend, now: Time) -> Report {
         Report {
             backend: backend.clone(),
@@ -281,8 +285,8 @@
         }
     }
 
-    /// Takes in what another host has learnt, unless this host's knowledge is as new but for `same`; says
-    /// whether it did.
+    /// Takes over another host's observation unless this host's own is as new, allowing for a
+    /// difference of `tolerance`; returns whether it did.
     pub(crate) fn merge(&mut self, report: &Report, now: Time, tolerance: Duration) -> bool {
         let observed_at = now.saturating_sub(report.age);
         let newer = observed_at > self.observed_at + tolerance;
@@ -295,12 +299,13 @@
         newer
     }
 
-    /// Sends without a reply.
+    /// Returns the number of sends in flight.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Time until a reply, if the route's ordinary one takes `typical`.
+    /// Returns the expected time until a reply, where `typical` is the typical reply time of the
+    /// route.
     pub fn expected(&self, now: Time, typical: Duration, slots: u32) -> Duration {
         let weight = self.weight(now);
         let typical = typical.as_secs_f64();
@@ -315,10 +320,10 @@
         Duration::from_secs_f64(own + queue + failing + self.expected_stall(now, own))
     }
 
-    /// How much longer a server that has stopped answering is likely to stay silent.
+    /// Returns how many more seconds a server that has stopped answering is likely to stay silent.
     ///
-    /// A pause of unknown length has lasted half its time on average when it is noticed, so it is
-    /// held to go on for as long as it has lasted.
+    /// A pause of unknown length has on average lasted half its time when it is detected, so it is
+    /// assumed to continue for as long as it has lasted.
     fn expected_stall(&self, now: Time, own: f64) -> f64 {
         let oldest = self.pending.first().map_or(now, |(_, sent)| *sent);
         let age = now.saturating_sub(oldest).as_secs_f64();
--- a/crates/lentillift-scatter/src/replica_table.rs
+++ b/crates/lentillift-scatter/src/replica_table.rs
@@ -1,9 +1,9 @@
-//! Which of a service's backend servers a request is sent to.
+//! Chooses the backend server of a service that a request is sent to.
 //!
-//! Pattern: two replicas hold a shard, one near and one in another failure domain. Without a price on the
-//! way, half of all bytes cross between failure domains; with too high a one, requests queue at a
-//! slow server near by while the other is idle. The replica with the earliest reply is taken, by what
-//! is known of it, see [`crate::replica`].
+//! The replica with the earliest expected reply is chosen, see [`crate::replica`]. A replica in
+//! another failure domain is charged a penalty: without one, two replicas in different domains
+//! share the load and half of all bytes cross between failure domains; with too high a penalty,
+//! requests queue at a slow local server while the remote one is idle.
 
 use crate::limit;
 use crate::replica::Replica;
@@ -15,63 +15,66 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Round trip to another failure domain, with the bytes that it costs, as a time.
+/// Penalty for a server in another failure domain: the round trip, and the cost of its bytes as
+/// time.
 ///
-/// About the round trip between failure domains (1 to 2 ms). A queue of one request outweighs it.
+/// The round trip between failure domains is 1 to 2 ms. A queue of one request outweighs the
+/// penalty.
 const REMOTE_PENALTY: Duration = Duration::from_millis(3);
 
-/// Part of an ordinary reply time that another failure domain has to be better by.
+/// Fraction of the typical reply time by which a server in another failure domain must be faster.
 ///
-/// Reply times differ by as much by chance; without it two replicas that are equally good share the
-/// load, and half of all bytes cross between failure domains.
+/// Reply times vary by this much by chance; without it two equally fast replicas would share the
+/// load, and half of all bytes would cross between failure domains.
 const REMOTE_PENALTY_FRACTION: f64 = 1.0;
 
-/// The surroundings of a choice.
+/// Inputs to the choice of a replica.
 #[derive(Debug)]
 pub struct ChoiceContext<'a> {
-    /// The time.
+    /// Current time.
     pub now: Time,
     /// Failure domain of this host.
     pub domain: &'a str,
-    /// This host's share.
+    /// This host's share of fleet-wide limits.
     pub share: &'a Share,
-    /// Ordinary reply time of the route.
+    /// Typical (median) reply time of the route.
     pub typical: Duration,
-    /// Connections that a server of the service accepts.
+    /// Connections that a server of the service accepts from all hosts together.
     pub connections: u32,
-    /// Requests a second that a cold server of the service bears.
+    /// Requests a second that a cold server of the service can take; none if unbounded.
     pub cold_rate: Option<f64>,
-    /// Bounds on cold servers.
+    /// Limits on requests to cold servers.
     pub cold: limit::Cold,
-    /// A number that differs between hosts, to deal out what is less than one for each.
+    /// A hash of the host's name, used to distribute limits of less than one request per host.
     pub host_hash: u64,
-    /// Whether servers that are left alone may be tried, one request at a time.
+    /// Whether servers that are backed off may be tried, one request at a time.
     pub includes_backed_off: bool,
 }
 
-/// All backend servers that this host has used.
+/// State of every backend server that this host has considered.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     replicas: HashMap<id::Backend, Replica>,
 }
 
 impl ReplicaTable {
-    /// What is known of `backend`.
+    /// Returns the state of `backend`, creating it if necessary.
     pub fn get(&mut self, backend: &id::Backend) -> &mut Replica {
         self.replicas.entry(backend.clone()).or_default()
     }
 
-    /// All of them.
+    /// Iterates over the state of all backend servers, in no particular order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&id::Backend, &Replica)> {
         self.replicas.iter()
     }
 
-    /// What is known of `backend`, if it was ever considered.
+    /// Returns the state of `backend` if it was ever considered.
     pub(crate) fn find(&mut self, backend: &id::Backend) -> Option<&mut Replica> {
         self.replicas.get_mut(backend)
     }
 
-    /// Forgets all backend servers but those that `keeps` names and those with sends in flight.
+    /// Drops the state of all backend servers except those that `keeps` accepts and those with
+    /// sends in flight.
     pub fn retain<F>(&mut self, keeps: F)
     where
         F: Fn(&id::Backend) -> bool,
@@ -80,7 +83,7 @@
             .retain(|backend, replica| keeps(backend) || replica.pending() > 0);
     }
 
-    /// The best of `servers`, and the time until its reply.
+    /// Returns the server with the earliest expected reply, and the time until that reply.
     pub fn choose<'a, I>(
         &mut self,
         context: &ChoiceContext<'_>,
@@ -104,7 +107,8 @@
         best.map(|(server, expected, _)| (server, expected))
     }
 
-    /// Time until a reply of `server`, and when it was last used; none if it must not be asked now.
+    /// Returns the time until a reply of `server` and when it was last used; none if it must not be
+    /// used now.
     fn expected(
         &mut self,
         context: &ChoiceContext<'_>,
--- a/crates/lentillift-scatter/src/report.rs
+++ b/crates/lentillift-scatter/src/report.rs
@@ -1,13 +1,13 @@
-//! What hosts tell each other of slow backend servers.
+//! Reports on slow backend servers that hosts exchange.
 //!
-//! Pattern: a search asks ninety shards of sixty hosts, and each host has one search a second or less.
-//! A seventh of the backend servers become slow for some seconds. A host meets each of them once in four
-//! seconds, so by itself it learns of them when they are well again; until then a seventh of the parts
-//! of each search are late, and repeats for all of them are more than the budget allows.
+//! Suppose a search asks ninety shards through sixty hosts, and each host has one search a second
+//! or less. A seventh of the backend servers become slow for some seconds. A host meets each of
+//! them once in four seconds, so on its own it detects them when they have recovered; until then a
+//! seventh of the parts of each search are late, and repeats for all of them exceed the budget.
 //!
-//! Every host that is asked for shards tells with its answer which servers it found slow or was told of.
-//! What is told keeps the time at which it was learnt, so it fades as fast as what a host learnt
-//! itself, however often it is passed on.
+//! With its reply, every host that is asked for shards sends a report on each server that it
+//! observed as slow or received a report on. A report keeps the time of the original observation,
+//! so it decays as fast as the host's own observations, however often it is forwarded.
 
 use crate::replica::Replica;
 use crate::replica_table::ReplicaTable;
@@ -15,34 +15,34 @@
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Part of the servers that a host itself has asked lately that may be slow for its own findings to be
-/// worth anything.
+/// Maximum fraction of the servers that a host recently used itself that may be slow for its own
+/// observations to be credible.
 ///
-/// A host that stands still for a moment finds all servers slow; if it told others, they would go
-/// round servers that are well. What it heard from others it passes on all the same.
+/// A host that is stopped for a moment finds all servers slow; if it reported them, other hosts
+/// would avoid healthy servers. Reports that it received are forwarded in any case.
 const MAX_SLOW_FRACTION: f64 = 0.4;
 
-/// Servers told of at a time: about a kilobyte.
+/// Maximum number of reports sent at a time: about a kilobyte.
 const MAX_REPORTS: usize = 48;
 
-/// Difference in age below which two reports are held to be the same one, passed on by another way.
+/// Difference in age below which two reports count as the same one, received by another route.
 const AGE_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What a host has learnt of a slow backend server.
+/// A report on a slow backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// The server.
+    /// Name of the server.
     pub backend: id::Backend,
-    /// Its reply time compared with the usual one.
+    /// Its reply time relative to the typical one of the route.
     pub slowness: f64,
-    /// Share of its requests that failed, from 0 to 1.
+    /// Fraction of its requests that failed, from 0 to 1.
     pub failing: f64,
-    /// Time since this was learnt.
+    /// Time since the observation.
     pub age: Duration,
 }
 
 impl ReplicaTable {
-    /// What other hosts should know; the latest first.
+    /// Returns the reports to send to other hosts; the latest first.
     pub fn reports(&self, now: Time) -> Vec<Report> {
         let (mut observed, mut slow) = (0, 0);
         let mut reportable: Vec<(&id::Backend, &Replica)> = Vec::new();
@@ -64,11 +64,12 @@
         reports
     }
 
-    /// Takes in what another host reports, where it is newer than what is known here; says of how many
-    /// servers it was.
+    /// Merges reports of another host where they are newer than the local state; returns the number
+    /// of servers that were updated.
     pub fn merge_reports(&mut self, reports: &[Report], now: Time) -> usize {
         let newer = reports.iter().filter(|report| {
-            // One that was never considered here would be kept for ever under a name that a peer made up.
+            // An unknown server is skipped: under a name invented by a peer it would be kept
+            // forever.
             let replica = self.find(&report.backend);
             replica.is_some_and(|replica| replica.merge(report, now, AGE_TOLERANCE))
         });
