--- a/crates/lentillift-scatter/src/budget.rs
+++ b/crates/lentillift-scatter/src/budget.rs
@@ -1,33 +1,33 @@
 //! A budget of repeated sends that holds over all hosts and any window of time.
 //!
-//! Pattern: whatever makes requests slow or fail makes more of them look worth repeating, and hedges
-//! and retries double the load just when there is none to spare. A backend server's operators allow
-//! a share of the requests and a fixed number besides, over every span of a given length. Each host
-//! keeps to the share of its own requests and to its part of the fixed number, so the sum holds
-//! without messages.
+//! Whatever makes requests slow or fail also makes more of them eligible for hedges and retries,
+//! which would double the load just when there is no spare capacity. The operators of a backend
+//! server allow a ratio of the requests plus a fixed number of repeats, over every span of a given
+//! length. Each host keeps to the ratio of its own requests and to its share of the fixed number,
+//! so the total holds without any messages between hosts.
 //!
-//! A process that starts has no memory of what the former one of its host sent; for one window it
-//! spends only the share, never the fixed number.
+//! A new process does not know what the previous process of its host sent. For its first window it
+//! spends only what the ratio allows, never the fixed number.
 
 use lentillift_core::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Parts into which a window is divided; sends are counted by part.
+/// Number of buckets in a window; sends are counted per bucket.
 const BUCKETS: u32 = 10;
 
-/// Figures of a budget.
+/// Parameters of a budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Repeated sends for each request.
+    /// Repeated sends allowed for each request.
     pub ratio: f64,
-    /// Repeated sends beyond that, over all hosts.
+    /// Repeated sends allowed beyond the ratio, over all hosts together.
     pub extra: u32,
-    /// Length of the spans over which both hold.
+    /// Length of the window over which both limits hold.
     pub window: Duration,
 }
 
-/// What was sent in one part of the window.
+/// Sends counted in one bucket of the window.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     number: u64,
@@ -35,14 +35,15 @@
     repeats: u32,
 }
 
-/// The budget for one service.
+/// The budget of repeated sends to one service.
 #[derive(Debug, Default)]
 pub struct Budget {
-    // INVARIANT: In the order of their numbers; none older than a window and one part.
+    // INVARIANT: Ordered by bucket number; none is older than one window plus one bucket.
     buckets: VecDeque<Bucket>,
 }
 
 impl Budget {
+    /// Returns the current bucket, dropping those that are too old.
     fn current(&mut self, options: &Options, now: Time) -> &mut Bucket {
         let number = bucket_number(options, now);
         while self
@@ -67,12 +68,13 @@
         &mut self.buckets[last]
     }
 
-    /// Notes the first send of a request.
+    /// Counts the first send of a request.
     pub fn earn(&mut self, options: &Options, now: Time) {
         self.current(options, now).requests += 1;
     }
 
-    /// Pays for a repeated send, if the budget allows with `extra` beyond what requests earn.
+    /// Counts a repeated send if the budget, with `extra` on top of the ratio, allows it; false if
+    /// not.
     pub fn spend(&mut self, options: &Options, extra: f64, now: Time) -> bool {
         if self.left(options, extra, now) < 1.0 {
             return false;
@@ -81,7 +83,7 @@
         true
     }
 
-    /// Notes a repeated send that was paid for.
+    /// Counts a repeated send without checking the budget.
     pub fn note(&mut self, options: &Options, now: Time) {
         self.current(options, now).repeats += 1;
     }
@@ -92,23 +94,23 @@
         bucket.repeats = bucket.repeats.saturating_sub(1);
     }
 
-    /// Repeated sends that may still be made now.
+    /// Returns how many repeated sends are allowed now.
     pub fn left(&mut self, options: &Options, extra: f64, now: Time) -> f64 {
         (self.allowed(options, extra, now) - self.repeats(options, now)).max(0.0)
     }
 
-    /// Repeated sends within the last window, and a little longer.
+    /// Returns the repeated sends of the last window plus up to one bucket.
     pub fn repeats(&mut self, options: &Options, now: Time) -> f64 {
         self.current(options, now);
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
         f64::from(repeats)
     }
 
-    /// Repeated sends that the requests of the last window and `extra` allow.
+    /// Returns the repeated sends that the requests of the last window plus `extra` allow.
     pub fn allowed(&mut self, options: &Options, extra: f64, now: Time) -> f64 {
         let current = self.current(options, now).number;
-        // A span that ends now begins inside the oldest part: its repeats may count, and its requests
-        // may not.
+        // A window that ends now begins inside the oldest bucket: the repeats of that bucket have
+        // to count, but its requests must not.
         let complete = self
             .buckets
             .iter()
--- a/crates/lentillift-scatter/src/ledger.rs
+++ b/crates/lentillift-scatter/src/ledger.rs
@@ -1,13 +1,13 @@
-//! The budgets of all services of one host.
+//! The budgets of repeated sends of all services, on one host.
 //!
-//! When budgets are scarce they go first to what decides whether there is an answer at all. Pattern:
-//! half of the backend servers turn most requests away, each search lacks a few shards, and there is
-//! a repeat for one shard in four. Spent on whichever came first, half of the searches lack one shard
-//! too many and fail, while others are complete that need not be.
+//! A scarce budget goes first to sends that decide whether there is an answer at all. Suppose half
+//! of the backend servers reject most requests, each search lacks a few shards, and there is a
+//! repeat for one shard in four. Spent first come, first served, half of the searches lack one
+//! shard too many and fail, while others are more complete than they need to be.
 //!
-//! What is kept back for that is kept of all services together. Of each alone, where many hosts share
-//! a service a host has three repeats in ten seconds and would keep two of them: one search in eight
-//! could ask again for a late part.
+//! The reserve for this is kept over all services together. Kept per service, where many hosts
+//! share a service and a host has three repeats in ten seconds, it would hold back two of them:
+//! only one search in eight could ask again for a late part.
 
 use crate::budget::Budget;
 use crate::budget::Options;
@@ -26,23 +26,23 @@
     Part,
 }
 
-/// Part of the budgets that may go into making answers more complete; the rest is kept for answers
-/// that would fail. On calm days repeats take a quarter of the budgets.
+/// Fraction of the budgets that may be spent on making answers more complete; the rest is reserved
+/// for answers that would fail. Under normal conditions repeats use a quarter of the budgets.
 const MAX_PART_FRACTION: f64 = 0.5;
 
 /// The budget of one service.
 #[derive(Debug)]
 struct Account {
     budget: Budget,
-    /// Decides which hosts get what can't be divided of the fixed number; another for each service.
+    /// Decides which hosts get the remainder of the fixed number; differs between services.
     remainder_offset: u64,
 }
 
-/// The budgets of all services of one host.
+/// The budgets of repeated sends of all services, on one host.
 #[derive(Debug, Default)]
 pub struct Ledger {
     accounts: HashMap<id::Service, Account>,
-    /// All of them together.
+    /// Sends to all services together, for the reserve.
     total: Budget,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// This host's part of the fixed number.
+    /// Returns this host's share of the fixed number, zero in the first window of the process.
     fn extra(&self, options: &Options, share: &Share, now: Time) -> f64 {
         match share.is_settled(now, options.window) {
             true => share.part(options.extra, self.remainder_offset, now).into(),
@@ -69,14 +69,14 @@
         self.accounts.entry(service.clone()).or_insert_with(create)
     }
 
-    /// Notes the first send of a request for a service.
+    /// Counts the first send of a request to a service.
     pub fn earn(&mut self, options: &Options, service: &id::Service, now: Time) {
         self.account(service).budget.earn(options, now);
         self.total.earn(options, now);
     }
 
-    /// Pays for a repeated send, if the budget of the service allows, and for a part also what may go
-    /// into parts.
+    /// Takes a repeated send from the budget of the service; false if it is exhausted, or if
+    /// `purpose` is a part and only the reserve is left.
     pub fn spend(
         &mut self,
         options: &Options,
@@ -97,7 +97,7 @@
         paid
     }
 
-    /// Whether less than their part of all budgets went into repeats.
+    /// Whether repeats have used less than the fraction of all budgets that may go into parts.
     fn allows_part(&mut self, options: &Options, share: &Share, now: Time) -> bool {
         let extra = match share.is_settled(now, options.window) {
             true => f64::from(options.extra) / f64::from(share.place().hosts.max(1)),
@@ -108,13 +108,13 @@
         self.total.repeats(options, now) + 1.0 <= allowed
     }
 
-    /// Takes back a repeated send that never reached a backend server.
+    /// Returns a repeated send that never reached a backend server to the budget.
     pub fn refund(&mut self, options: &Options, service: &id::Service, now: Time) {
         self.account(service).budget.refund(options, now);
         self.total.refund(options, now);
     }
 
-    /// What all of them still allow together.
+    /// Returns the repeated sends that all budgets together still allow.
     pub fn left(&mut self, options: &Options, share: &Share, now: Time) -> f64 {
         let accounts = self.accounts.values_mut();
         let left = accounts.map(|account| {
@@ -124,7 +124,7 @@
         left.sum()
     }
 
-    /// Forgets the budgets of all services but those that `keeps` names.
+    /// Drops the budgets of all services except those that `keeps` accepts.
     pub fn retain<F>(&mut self, keeps: F)
     where
         F: Fn(&id::Service) -> bool,
--- a/crates/lentillift-scatter/src/limit.rs
+++ b/crates/lentillift-scatter/src/limit.rs
@@ -1,32 +1,34 @@
-//! Bounds on what one backend server gets from this host: connections, and the rate while it is cold.
+//! Limits on what this host sends to one backend server: connections, and the rate while it is
+//! cold.
 
 use crate::share::Share;
 use lentillift_core::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Share of a backend server's connections that hosts use, in hundredths.
+/// Percentage of a backend server's connections that hosts use.
 ///
 /// The rest is for hosts that have just joined and are not counted yet, and for the fewer
-/// connections that a backend server takes while its queue is long.
+/// connections that a backend server accepts while its queue is long.
 const USED_PERCENT: u32 = 75;
 
-/// Time for which a process that has started uses one connection to each backend server.
+/// Time during which a new process uses only one connection to each backend server.
 ///
-/// When all hosts lose power at once, a backend server still holds the connections of their former
-/// processes until its own timeouts, and a process that starts does not know how many others there
-/// are. Beyond its connections a server resets new ones; searches failed for six seconds for it.
+/// When all hosts lose power at once, a backend server holds the connections of their previous
+/// processes until its own timeouts, and a new process does not know how many others there are. A
+/// server resets new connections above its limit; searches failed for six seconds because of this.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// Span over which the rate of a cold backend server holds.
+/// Window over which the rate of a cold backend server is limited.
 const COLD_WINDOW: Duration = Duration::from_secs(1);
 
-/// Requests that this host may have under way at a backend server, each on its own connection, if the
-/// server takes `total` connections from all hosts and runs `slots` requests at a time.
+/// Returns how many requests this host may have in flight at a backend server that accepts `total`
+/// connections from all hosts and runs `slots` requests at a time. Each takes one connection.
 ///
-/// At least two, since one alone would send the next request to another failure domain, and no more
-/// than one beyond its slots, which only wait there. With more hosts than connections the sum of the
-/// parts is no bound; there a server is asked by few hosts, see [`crate::host::Hosts::owner`].
+/// At least two, since with one the next request would go to another failure domain, and at most
+/// one more than its slots, since further requests would only wait there. With more hosts than
+/// connections the sum over all hosts exceeds `total`; there only few hosts ask a server, see
+/// [`crate::host::Hosts::owner`].
 pub fn max_in_flight(share: &Share, total: u32, slots: u32, now: Time) -> usize {
     if !share.is_settled(now, STARTUP_PERIOD) {
         return 1;
@@ -35,19 +37,20 @@
     part.min(slots + 1) as usize
 }
 
-/// Bound on the requests to cold backend servers.
+/// Limit on the requests to a cold backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cold {
-    /// What all hosts may send beyond the rate, as a factor.
+    /// Factor on the rate that the server can take, over all hosts.
     pub factor: f64,
-    /// What all hosts may send beyond that, in requests a second.
+    /// Requests a second that all hosts together may send on top of that.
     pub extra: f64,
 }
 
 impl Cold {
-    /// Requests a second that this host may send to a backend server that bears `rate`.
+    /// Returns how many requests a second this host may send to a backend server that can take
+    /// `rate`.
     ///
-    /// With fewer requests than hosts, those whose `ticket` is low get one each.
+    /// With fewer requests than hosts, those with a low remainder of `host_hash` get one each.
     pub fn allowed(&self, share: &Share, rate: f64, host_hash: u64) -> usize {
         let total = (rate * self.factor + self.extra).floor().max(0.0) as u64;
         let hosts = u64::from(share.place().hosts.max(1));
@@ -56,15 +59,15 @@
     }
 }
 
-/// When this host sent to a cold backend server.
+/// Recent sends of this host to a cold backend server.
 #[derive(Debug, Default, Clone)]
 pub struct RecentSends {
-    // INVARIANT: In rising order.
+    // INVARIANT: In ascending order.
     sent: VecDeque<Time>,
 }
 
 impl RecentSends {
-    /// Requests within the span that ends now.
+    /// Returns the number of sends in the window that ends now.
     pub fn count(&mut self, now: Time) -> usize {
         while self
             .sent
@@ -76,7 +79,7 @@
         self.sent.len()
     }
 
-    /// Notes a request.
+    /// Adds a send.
     pub fn note(&mut self, now: Time) {
         self.sent.push_back(now);
     }
--- a/crates/lentillift-scatter/src/share.rs
+++ b/crates/lentillift-scatter/src/share.rs
@@ -1,26 +1,27 @@
-//! This host's share of what all hosts may do together.
+//! This host's share of fleet-wide limits.
 //!
-//! Pattern: a bound of the whole fleet has to hold though no host counts for the others. Each takes
-//! an equal part of it. What goes wrong otherwise: hosts that are cut off from each other, or that
-//! start anew with no memory, each take themselves for one of few, and together go beyond the bound.
+//! A limit of the whole fleet has to hold although no host counts for the others, so each host
+//! takes an equal share of it. What has to be prevented: hosts that are partitioned from each
+//! other, or that restart without memory, each assume that there are only few hosts, and together
+//! exceed the limit.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// This host's place among all hosts.
+/// This host's rank among all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// Hosts of the fleet, this one included.
+    /// Number of hosts in the fleet, including this one.
     pub hosts: u32,
-    /// Hosts whose names come before this one's.
+    /// Number of hosts whose names sort before this one's.
     pub rank: u32,
 }
 
 impl Place {
-    /// This host's part of `total`: what all hosts have together is `total`, if they agree on who there
-    /// is. `turn` decides who gets what can't be divided.
+    /// Returns this host's share of `total`. The shares of all hosts add up to `total` if the hosts
+    /// agree on the set of hosts. `offset` rotates which hosts get the remainder.
     fn part(self, total: u32, offset: u64) -> u32 {
         let hosts = u64::from(self.hosts.max(1));
         let number = (u64::from(self.rank) + offset % hosts) % hosts;
@@ -29,21 +30,21 @@
     }
 }
 
-/// How many hosts this one shares with.
+/// This host's share of fleet-wide limits.
 ///
-/// Hosts that stopped answering still count: they may be cut off from this one alone. Only hosts that
-/// said that they ended do not, and they for a while, see [`Roster`].
+/// Hosts that stopped answering still count: they may be partitioned from this host only. Hosts
+/// that announced their end stop counting after a window, see [`Roster`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
     place: Place,
-    /// Former places, and until when they bind.
+    /// Former places and until when they still apply.
     former: Vec<(Place, Time)>,
     /// When this process started.
     pub started: Time,
 }
 
 impl Share {
-    /// The share of a process that started at `started`.
+    /// Creates the share of a process that started at `started`.
     pub fn new(place: Place, started: Time) -> Self {
         Self {
             place,
@@ -52,17 +53,17 @@
         }
     }
 
-    /// This host's place.
+    /// Returns this host's place.
     pub fn place(&self) -> Place {
         self.place
     }
 
-    /// Takes in a new place at `now`; the former one binds for two windows more.
+    /// Changes the place at `now`; the former one still applies for two windows.
     ///
-    /// What goes wrong otherwise: a host goes and the others hear of it one after the other. One that gets
-    /// more by the new places and one that had more by the old ones, and has spent it, go beyond the
-    /// bound together. Two windows: one in which others may not have heard yet, and one in which what
-    /// they spent until then counts.
+    /// Without this, when a host leaves and the others learn of it one after the other, a host that
+    /// gets more under the new places and one that had more under the old ones, and has spent it,
+    /// exceed the limit together. Two windows: one in which others may not have learned of the
+    /// change yet, and one in which what they spent until then still counts.
     pub fn update(&mut self, place: Place, now: Time, window: Duration) {
         self.former.retain(|(_, until)| *until > now);
         if place != self.place {
@@ -72,36 +73,36 @@
         }
     }
 
-    /// This host's part of `total`, rounded down.
+    /// Returns this host's share of `total`, rounded down.
     pub fn rounded_part(&self, total: u32) -> u32 {
         total / self.place.hosts.max(1)
     }
 
-    /// This host's part of `total`, without a remainder that nobody gets.
+    /// Returns this host's share of `total`, where the remainder is distributed too.
     ///
-    /// A hundred and fifty-eight repeats over fifty-nine hosts, rounded down, are forty less.
+    /// 158 repeats over fifty-nine hosts, rounded down at each, would be forty less.
     pub fn part(&self, total: u32, offset: u64, now: Time) -> u32 {
         let binding = self.former.iter().filter(|(_, until)| *until > now);
         let former = binding.map(|(place, _)| place.part(total, offset));
         former.fold(self.place.part(total, offset), u32::min)
     }
 
-    /// Whether a former process of this host can no longer have an effect within `window`.
+    /// Whether sends of a former process of this host are all older than `window`.
     pub fn is_settled(&self, now: Time, window: Duration) -> bool {
         now >= self.started + window
     }
 }
 
-/// The hosts that a bound is shared with.
+/// The hosts that a limit is shared with.
 ///
-/// A host that has said that it ended counts for one window more, since what it did still does.
+/// A host that announced its end counts for one more window, since its sends still count.
 #[derive(Debug, Default)]
 pub struct Roster {
     last_seen: BTreeMap<id::Host, Time>,
 }
 
 impl Roster {
-    /// Takes in which hosts there are at `now`, `me` among them; says which place it has.
+    /// Applies the set of hosts present at `now`, including `me`; returns the place of `me`.
     pub fn update<'a, I>(&mut self, me: &str, present: I, now: Time, window: Duration) -> Place
     where
         I: IntoIterator<Item = &'a id::Host>,
--- a/crates/lentillift-scatter/src/switch.rs
+++ b/crates/lentillift-scatter/src/switch.rs
@@ -1,22 +1,22 @@
-//! Mechanisms that an operator can switch off, one by one: to see what each is worth, or to be rid of one
-//! that does harm until it is mended.
+//! Mechanisms that an operator can switch off one by one: to measure the effect of each, or to
+//! disable one that does harm until it is fixed.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
 
 macro_rules! mechanisms {
     ($($(#[$doc:meta])* $name:ident = $text:literal,)*) => {
-        /// Something that can be switched off.
+        /// A mechanism that can be switched off.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Mechanism {
             $($(#[$doc])* $name,)*
         }
 
         impl Mechanism {
-            /// All of them.
+            /// All mechanisms, in the order of their definition.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// Its name in settings.
+            /// Returns its name in settings.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
@@ -27,7 +27,7 @@
 }
 
 mechanisms! {
-    /// Asking another replica when one is late or has failed.
+    /// Trying another replica when one is late or has failed.
     Repeats = "repeats",
     /// Answering in time without the parts that are late.
     PartialAnswers = "partial-answers",
@@ -35,45 +35,45 @@
     Branches = "branches",
     /// Dividing a search of many shards among the hosts of a failure domain.
     Owners = "owners",
-    /// Telling other hosts of slow backend servers.
+    /// Sending reports on slow backend servers to other hosts.
     Reports = "reports",
-    /// Declining, when asked by another host, to ask a slow backend server.
+    /// Declining to send to a slow backend server on behalf of another host.
     Declining = "declining",
-    /// Keeping a part of the repeats for answers that would fail.
+    /// Reserving a part of the repeats for answers that would fail.
     Reserve = "reserve",
-    /// Answering by the distance of each caller.
+    /// Timing each answer by the round trip to its caller.
     CallerWay = "caller-way",
     /// Asking backend servers directly while other hosts lose too many shards.
     Loss = "loss",
-    /// Declining questions of other hosts that were held up on their way.
+    /// Declining requests of other hosts that were delayed on their way.
     LateQuestions = "late-questions",
-    /// Passing what is published on over several hosts of a failure domain.
+    /// Relaying published state through several hosts of a failure domain.
     Relays = "relays",
-    /// Packing what is published on its way between hosts.
+    /// Compressing published state in transit between hosts.
     Packing = "packing",
-    /// Counting the age of what another host tells from the time of a question that it answers.
+    /// Counting the age of another host's state from the send time of the request that it answers.
     Proofs = "proofs",
-    /// Hearing the news before requests are served, after the process stood still.
+    /// Waiting for an update before serving requests, after the process was stopped for a while.
     CatchUp = "catch-up",
-    /// Stopping requests that end the servers which run them.
+    /// Quarantining requests that end the servers which run them.
     Quarantine = "quarantine",
-    /// Asking servers that leave where nothing else is left.
+    /// Using leaving servers as a last resort.
     LastResort = "last-resort",
 }
 
-/// Which mechanisms are off; none by default.
+/// The set of mechanisms that are switched off; empty by default.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Switches {
     off: BTreeSet<Mechanism>,
 }
 
 impl Switches {
-    /// Whether `mechanism` works.
+    /// Whether `mechanism` is on.
     pub fn is_on(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 
-    /// Those that are off.
+    /// Iterates over the mechanisms that are switched off.
     pub fn off(&self) -> impl Iterator<Item = Mechanism> {
         self.off.iter().copied()
     }
@@ -82,7 +82,7 @@
 impl FromStr for Switches {
     type Err = String;
 
-    /// Reads the names of the mechanisms that are off, with commas between them.
+    /// Parses the names of the mechanisms that are off, separated by commas.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let names = text
             .split(',')
