--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -1,5 +1,5 @@
-//! What all requests of a host share: the picture they are served by, what is known of backend
-//! servers, budgets, and how long replies take.
+//! State that all requests of a host share: the view they are served from, what is known of backend
+//! servers, the budgets, and reply times.
 
 use crate::budget;
 use crate::caller::DefaultRtt;
@@ -34,34 +34,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Figures of how requests are served.
+/// Parameters of how requests are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Bounds on repeated sends.
+    /// Limits on repeated sends.
     pub budget: budget::Options,
-    /// Bounds on requests to cold backend servers.
+    /// Limits on requests to cold backend servers.
     pub cold: limit::Cold,
-    /// Time before the objective at which an answer has to leave this host to arrive in time, beyond
-    /// the way to its caller and back: merging, writing, and a poll of a busy process.
+    /// Time by which an answer has to leave this host before the objective, beyond the round trip
+    /// to its caller: for merging, writing, and one poll of a busy process.
     pub margin: Duration,
-    /// Objectives for which a backend server may work on a shard's part.
+    /// Number of objectives for which a backend server may work on a shard's part.
     ///
-    /// What takes longer comes too late for its caller, and holds a slot that others wait for.
+    /// A longer reply is too late for its caller, and occupies a slot that other requests wait for.
     pub shard_timeout_objectives: u32,
-    /// Quantile of reply times after which another replica is asked.
+    /// Quantile of the reply times after which another replica is tried.
     pub hedge_quantile: f64,
-    /// Largest part of the objective after which another replica is asked.
+    /// Maximum fraction of the objective after which another replica is tried.
     pub max_hedge_fraction: f64,
     /// Whether other hosts are asked for shards that have no replica in this failure domain.
     pub branches: bool,
-    /// Shards that one host asks for by itself in one search; others are asked for the rest.
+    /// Maximum number of shards that one host asks for directly in one search; the rest go through
+    /// other hosts.
     ///
-    /// A host sends and reads one after the other, so a search of many shards takes as long as its
-    /// slowest host is busy with it.
+    /// A host sends and reads sequentially, so a search of many shards takes as long as its slowest
+    /// host is busy with it.
     pub max_direct: usize,
-    /// Figures of quarantine.
+    /// Parameters of the quarantine.
     pub quarantine: quarantine::Options,
-    /// What an operator has switched off.
+    /// Mechanisms that an operator has switched off.
     pub switches: Switches,
 }
 
@@ -89,19 +90,20 @@
     }
 }
 
-/// Part of the objective that a reply is held to take before any was seen.
+/// Fraction of the objective that is assumed as the typical reply time before any reply was seen.
 const INITIAL_TYPICAL_FRACTION: f64 = 0.12;
 
-/// Reply times of one route's sends.
+/// Estimated reply times of one route's sends.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplyTimes {
-    /// Median.
+    /// Median reply time.
     pub typical: Duration,
-    /// The quantile after which another replica is asked.
+    /// Quantile of the reply times after which another replica is tried.
     pub hedge_delay: Duration,
 }
 
 impl ReplyTimes {
+    /// Returns the estimate before any reply was seen.
     fn initial(objective: Duration) -> Self {
         let typical = objective.mul_f64(INITIAL_TYPICAL_FRACTION);
         Self {
@@ -110,67 +112,68 @@
         }
     }
 
-    /// Takes in a reply time, moving each quantile by a step for its side.
+    /// Adds a reply time, moving each quantile by one step.
     fn record(&mut self, took: Duration, quantile: f64) {
         self.typical = quantile::step(self.typical, took, 0.5);
         self.hedge_delay = quantile::step(self.hedge_delay, took, quantile).max(self.typical);
     }
 }
 
-/// Weight of one timer in the estimate of how late they fire.
+/// Weight of one timer in the moving average of the lag.
 const LAG_WEIGHT: f64 = 0.05;
 
-/// How late this host's timers fire, because its processor is busy or taken away.
+/// How late this host's timers fire on average, because its processor is busy or preempted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Lag {
     mean: Duration,
 }
 
 impl Lag {
-    /// Notes a timer that fired `late`.
+    /// Adds a timer that fired `late`.
     pub fn note(&mut self, late: Duration) {
         let late = late.min(MAX_LAG_SAMPLE);
         self.mean = self.mean.mul_f64(1.0 - LAG_WEIGHT) + late.mul_f64(LAG_WEIGHT);
     }
 
-    /// What a timer is to be set earlier by.
+    /// Returns the average lag, by which timers should be set earlier.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 }
 
-/// Most that one timer counts; a process that stood still for seconds is no slower afterwards.
+/// Maximum lag that one timer counts for; a process that was stopped for seconds is no slower
+/// afterwards.
 const MAX_LAG_SAMPLE: Duration = Duration::from_millis(50);
 
-/// What all requests of a host share.
+/// State that all requests of a host share.
 #[derive(Debug)]
 pub struct Core {
-    /// Figures.
+    /// Parameters of how requests are served.
     pub options: Options,
     /// This host's name.
     pub name: id::Host,
     /// This host's failure domain.
     pub domain: id::Domain,
-    /// This host's share of what all may do.
+    /// This host's share of fleet-wide limits.
     pub share: Share,
-    /// The latest picture; none before the first.
+    /// The latest view; none before the first.
     pub view: Option<Arc<View>>,
-    /// A number that differs between hosts.
+    /// A hash of the host's name, which differs between hosts.
     pub host_hash: u64,
-    /// What is known of backend servers.
+    /// State of each backend server.
     pub replicas: ReplicaTable,
-    /// Other hosts.
+    /// The other hosts.
     pub hosts: Hosts,
-    /// Shards that other hosts were asked for in vain.
+    /// Recent loss of shards that other hosts were asked for.
     pub loss: Loss,
-    /// Requests under which backend servers ended.
+    /// Requests during which backend servers ended.
     pub quarantine: quarantine::Table,
-    /// How far away callers are that have not told.
+    /// Round trip that is assumed for callers without a measurement.
     pub caller_rtt: DefaultRtt,
     /// How late this host's timers fire.
     pub lag: Lag,
     ledger: Ledger,
-    /// Longest time that callers of each route said they would wait.
+    /// Longest waiting time that callers of each route announced.
     longest_wait: HashMap<Arc<str>, Duration>,
     reply_times: HashMap<Arc<str>, ReplyTimes>,
     last_send_id: SendId,
@@ -181,12 +184,12 @@
 pub struct Choice {
     /// The backend server.
     pub server: Arc<Server>,
-    /// Time until its reply.
+    /// Expected time until its reply.
     pub expected: Duration,
 }
 
 impl Core {
-    /// Starts with nothing known.
+    /// Creates the state of a new process: no view, no estimates.
     pub fn new(options: Options, name: id::Host, domain: id::Domain, share: Share) -> Self {
         Self {
             options,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Serves requests that arrive from now on by `view`.
+    /// Makes `view` the latest view and drops state of servers, services and routes that it lacks.
     pub fn adopt(&mut self, view: View) {
         let servers = view.servers.values().flatten();
         let known: HashSet<_> = servers.map(|s| s.entry.id.clone()).collect();
@@ -222,13 +225,13 @@
         self.view = Some(Arc::new(view));
     }
 
-    /// A number for the next send.
+    /// Returns the id of the next send.
     pub fn next_send_id(&mut self) -> SendId {
         self.last_send_id += 1;
         self.last_send_id
     }
 
-    /// Reply times of the route's sends.
+    /// Returns the estimated reply times of the route.
     pub fn reply_times(&mut self, route: &Route) -> ReplyTimes {
         let initial = || ReplyTimes::initial(route.objective);
         match self.reply_times.get(&route.name) {
@@ -240,11 +243,12 @@
         }
     }
 
-    /// Time that a caller with `left` to wait has already spent, on a first connection or the like.
+    /// Returns the time that a caller with `left` to wait has already spent, e.g. on opening a
+    /// connection.
     ///
-    /// Callers of a route say the same when they have spent nothing, so what is less than the most is
-    /// time spent. More than an objective is a caller of another kind, or one that comes again, and
-    /// nothing is gained by hurrying.
+    /// Callers of a route announce the same time when they have spent none of it, so the difference
+    /// from the longest time is what was spent. More than half an objective means another kind of
+    /// caller, or one that retries; hurrying would gain nothing there.
     pub fn time_spent(&mut self, route: &Route, left: Duration) -> Duration {
         let longest = match self.longest_wait.get_mut(&route.name) {
             Some(longest) => longest,
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Notes the first send of a request for a service.
+    /// Counts the first send of a request to a service towards the budget.
     pub fn earn(&mut self, service: &id::Service, now: Time) {
         self.ledger.earn(&self.options.budget, service, now);
     }
@@ -269,12 +273,12 @@
         !switch || self.loss.share(now) <= self.options.budget.ratio
     }
 
-    /// Pays for a repeated send.
+    /// Takes a repeated send from the budget; false if the budget denies it.
     pub fn spend(&mut self, service: &id::Service, now: Time, purpose: Purpose) -> bool {
         let Options {
             budget, switches, ..
         } = &self.options;
-        // Without the reserve every repeat counts as one that decides about an answer.
+        // Without the reserve every repeat counts as one that an answer depends on.
         let purpose = match switches.is_on(Mechanism::Reserve) {
             true => purpose,
             false => Purpose::Answer,
@@ -286,20 +290,21 @@
                 .spend(budget, &self.share, service, now, purpose)
     }
 
-    /// Takes back a repeated send that never reached a backend server.
+    /// Returns a repeated send that never reached a backend server to the budget.
     pub fn refund(&mut self, service: &id::Service, now: Time) {
         self.ledger.refund(&self.options.budget, service, now);
     }
 
-    /// What the budgets of all services still allow together.
+    /// Returns the repeated sends that the budgets of all services together still allow.
     pub fn budget_left(&mut self, now: Time) -> f64 {
         self.ledger.left(&self.options.budget, &self.share, now)
     }
 
-    /// The best backend server of `service` that `allows` lets through.
+    /// Returns the best backend server of `service` among those that `allows` accepts.
     ///
-    /// Under `view`, but never one that the latest picture excludes: a request that waited must not
-    /// go to a failure domain that was evacuated, or to a server that left, since it arrived.
+    /// Limits come from `view`, but servers from the latest view only: a request that waited must
+    /// not go to a failure domain that was evacuated, or to a server that left, after the request
+    /// arrived.
     pub fn choose<F>(
         &mut self,
         view: &View,
@@ -341,7 +346,7 @@
             );
         }
         if best.is_none() {
-            // All are left alone for a while. One request at a time finds out whether one is back.
+            // All are backed off. One request at a time finds out whether one has recovered.
             context.includes_backed_off = true;
             best = replicas.choose(&context, servers.iter().filter(is_allowed).filter(is_ready));
         }
@@ -351,17 +356,17 @@
         })
     }
 
-    /// Whether the server of a choice is left alone for now, and was chosen for want of another.
+    /// Whether the chosen server is backed off, and was chosen only for lack of another.
     pub fn is_backed_off(&mut self, choice: &Choice, now: Time) -> bool {
         self.replicas
             .get(&choice.server.entry.id)
             .is_backed_off(now)
     }
 
-    /// Whether a send to `server` that was decided earlier may still leave.
+    /// Whether a send to `server` that was decided earlier may still be made.
     ///
-    /// What goes wrong without it: between the choice and the first byte a connection is opened or the
-    /// processor is elsewhere, and news of an evacuation or of the server's leaving comes in.
+    /// Between the choice and the first byte a connection is opened, or the process waits for a
+    /// processor. Meanwhile an update may announce an evacuation, or that the server is leaving.
     pub fn may_send(&self, server: &Server, now: Time) -> bool {
         let Some(view) = &self.view else {
             return false;
@@ -379,13 +384,13 @@
             .is_some_and(|known| known.last_resort_until.is_none_or(|at| now < at))
     }
 
-    /// The request's fingerprint, if anything is to be remembered of it.
+    /// Returns the request's fingerprint unless quarantine is switched off.
     pub(crate) fn tracked(&self, fingerprint: Option<Fingerprint>) -> Option<Fingerprint> {
         let switches = &self.options.switches;
         fingerprint.filter(|_| switches.is_on(Mechanism::Quarantine))
     }
 
-    /// How a request that has just arrived is treated.
+    /// Returns how to treat a request that has just arrived.
     pub fn admit(&mut self, fingerprint: Option<Fingerprint>, now: Time) -> Admission {
         match self.tracked(fingerprint) {
             Some(known) => self.quarantine.admit(&self.options.quarantine, known, now),
@@ -393,13 +398,13 @@
         }
     }
 
-    /// What is held of a request.
+    /// Returns the quarantine verdict on a request.
     pub fn verdict(&self, fingerprint: Option<Fingerprint>, now: Time) -> Verdict {
         let known = self.tracked(fingerprint);
         known.map_or(Verdict::Clear, |known| self.quarantine.verdict(known, now))
     }
 
-    /// Notes that `server` ended while it had the request, with no reply of another to it.
+    /// Records that `server` ended while it had the request and no other server had replied to it.
     pub fn server_ended(
         &mut self,
         fingerprint: Option<Fingerprint>,
@@ -420,7 +425,7 @@
         }
     }
 
-    /// Takes in what another host holds of requests under which servers ended; says how much was new.
+    /// Merges another host's quarantine records; returns how many were new.
     pub fn merge_quarantine(&mut self, accounts: &[quarantine::Account], now: Time) -> usize {
         if !self.options.switches.is_on(Mechanism::Quarantine) {
             return 0;
@@ -429,12 +434,12 @@
             .hear(&self.options.quarantine, accounts, now)
     }
 
-    /// Forgets what is known of requests and led to nothing.
+    /// Drops quarantine records that have expired.
     pub fn expire_quarantine(&mut self, now: Time) {
         self.quarantine.expire(&self.options.quarantine, now);
     }
 
-    /// Notes that a server ran the request and replied.
+    /// Records that a server ran the request and replied.
     pub fn server_answered(&mut self, fingerprint: Option<Fingerprint>, now: Time) {
         if let Some(known) = self.tracked(fingerprint) {
             self.quarantine
@@ -442,7 +447,7 @@
         }
     }
 
-    /// Notes a send to a backend server.
+    /// Records a send to a backend server.
     pub fn sent(&mut self, send_id: SendId, server: &Server, now: Time) {
         let replica = self.replicas.get(&server.entry.id);
         replica.sent(send_id, now);
@@ -451,7 +456,7 @@
         }
     }
 
-    /// Notes a whole reply and how long it took.
+    /// Records a complete reply and how long it took.
     pub fn replied(
         &mut self,
         send_id: SendId,
@@ -469,7 +474,7 @@
         self.ended(send_id, &server.entry.id, observation, now, load);
     }
 
-    /// Notes how a send to a backend server ended otherwise.
+    /// Records any other end of a send to a backend server.
     pub fn ended(
         &mut self,
         send_id: SendId,
--- a/crates/lentillift-scatter/src/leg.rs
+++ b/crates/lentillift-scatter/src/leg.rs
@@ -1,4 +1,5 @@
-//! One shard's part of a request: which sends are under way, and whether one has brought the part.
+//! A leg: one shard's part of a request, with its sends in flight and whether one has returned the
+//! part.
 
 use crate::replica::SendId;
 use crate::server::Server;
@@ -13,9 +14,9 @@
     Server(Arc<Server>),
     /// To another host, which asks a backend server of its failure domain.
     Host {
-        /// The host.
+        /// Name of the host.
         host: id::Host,
-        /// Its failure domain.
+        /// Failure domain of the host.
         domain: id::Domain,
     },
 }
@@ -23,28 +24,28 @@
 /// One send that has not ended.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Its number.
+    /// Id of the send.
     pub send_id: SendId,
     /// Where it went.
     pub target: Target,
     /// When it was sent.
     pub sent: Time,
-    /// Whether it was paid for as a repeated send.
+    /// Whether it was taken from the budget as a repeated send.
     pub repeat: bool,
-    /// Whether it finds out by itself what its request does to a server.
+    /// Whether it is a canary: a single send that tests whether its request ends servers.
     pub canary: bool,
 }
 
-/// How far a leg has come.
+/// Progress of a leg.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// A send is under way, or will be.
+    /// A send is in flight or scheduled.
     Open,
-    /// This send brought the part.
+    /// This send returned the part.
     Done(SendId),
-    /// Nothing was sent that could have arrived.
+    /// No send can have reached a backend server.
     Declined,
-    /// What was sent brought nothing.
+    /// Every send ended without returning the part.
     Failed,
 }
 
@@ -55,28 +56,28 @@
     pub service: id::Service,
     /// Sends that have not ended.
     pub in_flight: Vec<Attempt>,
-    /// Backend servers that may have run it.
+    /// Backend servers that may have run the request.
     pub may_have_run: Vec<id::Backend>,
-    /// Failure domains in which a backend server that another host chose may have run it.
+    /// Failure domains in which a backend server chosen by another host may have run the request.
     pub may_have_run_in: Vec<id::Domain>,
-    /// Backend servers that turned it away or could not be reached.
+    /// Backend servers that rejected the request or could not be reached.
     pub rejected_by: Vec<id::Backend>,
-    /// Sends that arrived at a backend server, or may have.
+    /// Number of sends that reached a backend server, or may have.
     pub arrivals: u32,
-    /// Whether the request was counted for the budget.
+    /// Whether the request was counted towards the budget.
     pub is_counted: bool,
-    /// The send that brought the part.
+    /// The send that returned the part.
     pub done: Option<SendId>,
     /// The last send that ended in a failure of the backend server's own.
     pub failed: Option<SendId>,
-    /// When another replica is to be asked.
+    /// When another replica is to be tried.
     pub hedge_at: Option<Time>,
-    /// Whether it waits for a canary.
+    /// Whether it waits for the result of a canary.
     pub waits_for_canary: bool,
 }
 
 impl Leg {
-    /// A leg for which nothing was sent.
+    /// Creates a leg without any sends.
     pub fn new(service: id::Service) -> Self {
         Self {
             service,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the leg.
     pub fn state(&self) -> State {
         match self.done {
             Some(send_id) => State::Done(send_id),
@@ -108,22 +109,22 @@
         }
     }
 
-    /// Whether its part is neither here nor on its way, and no send is due.
+    /// Whether its part is missing and no send is in flight or scheduled.
     pub fn is_lost(&self) -> bool {
         matches!(self.state(), State::Declined | State::Failed)
     }
 
-    /// Backend servers that run it or may have.
+    /// Returns how many backend servers run the request or may have run it.
     pub fn possible_runs(&self) -> usize {
         self.in_flight.len() + self.may_have_run.len() + self.may_have_run_in.len()
     }
 
-    /// Whether no backend server can have run it.
+    /// Whether no backend server can have run the request.
     pub fn cannot_have_run(&self) -> bool {
         self.possible_runs() == 0
     }
 
-    /// Takes out a send that ended.
+    /// Removes and returns a send that ended; none if it is not in flight.
     pub fn remove(&mut self, send_id: SendId) -> Option<Attempt> {
         let place = self
             .in_flight
@@ -132,7 +133,7 @@
         Some(self.in_flight.remove(place))
     }
 
-    /// Whether `server` has been asked, or may have been by another host.
+    /// Whether `server` was sent the request, or may have been by another host.
     pub fn was_sent_to(&self, server: &Server) -> bool {
         let entry = &server.entry;
         let pending = self.in_flight.iter().any(|sent| match &sent.target {
--- a/crates/lentillift-scatter/src/lib.rs
+++ b/crates/lentillift-scatter/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides how a request reaches backend servers: which route, which replicas, when to hedge, what
-//! to believe of the published state, and when to answer.
+//! Decides how a request reaches backend servers: which route, which replicas, when to hedge, how
+//! far to trust the published state, and when to answer.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number: events and times go in, what
-//! to do next comes out as an enum.
+//! This crate does no I/O, reads no clock and draws no random numbers: events and times go in, and
+//! the next action comes out as an enum.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-scatter/src/outcome.rs
+++ b/crates/lentillift-scatter/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a query wants sent, how sends end, and what to do next.
+//! The sends that a query requests, how they end, and what to do next.
 
 use crate::leg::Target;
 use crate::replica::Load;
@@ -6,92 +6,93 @@
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Something to be sent.
+/// A send that the query requests.
 #[derive(Debug, Clone)]
 pub struct Send {
-    /// Its number.
+    /// Id of the send.
     pub id: SendId,
-    /// Where to.
+    /// Where it goes.
     pub target: Target,
-    /// The legs that it is for.
+    /// Indices of the legs that it is for.
     pub legs: Vec<usize>,
-    /// Time until the receiver should give up.
+    /// Time after which the receiver should give up.
     pub timeout: Duration,
-    /// Time until a host that is asked should tell for the first time what it has.
+    /// Time until another host's first update is due; zero for a backend server.
     pub first_update_after: Duration,
     /// Whether it repeats an earlier send.
     pub repeat: bool,
-    /// Whether it finds out by itself what its request does to a server.
+    /// Whether it is a canary: a single send that tests whether its request ends servers.
     pub canary: bool,
-    /// Whether a server has answered the request, whatever else is held of it.
+    /// Whether a server has already replied to the request, whatever the quarantine verdict.
     pub has_reply: bool,
 }
 
 /// How a send ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A whole reply that can be used.
+    /// A complete, usable reply.
     Part {
-        /// What the server said of its load.
+        /// Load that the server reported; none if it did not.
         load: Option<Load>,
     },
-    /// The server's own failure; it ran.
+    /// A failure of the server's own; the request ran.
     Failure {
-        /// What the server said of its load.
+        /// Load that the server reported; none if it did not.
         load: Option<Load>,
     },
-    /// The server said that it did not run it.
+    /// The server rejected the request without running it.
     Rejected {
-        /// What the server said of its load.
+        /// Load that the server reported; none if it did not.
         load: Option<Load>,
     },
-    /// Another server has the address; it did not run.
+    /// Another server has the address; the request did not run.
     Misdirected,
     /// It never left this host: the server could not be reached.
     Unreachable,
-    /// It never left this host: in the meantime its request became suspect.
+    /// It never left this host: its request became suspect before it was sent.
     Withheld,
-    /// It may have run; the reply was lost, cut off, late or malformed.
+    /// The request may have run; the reply was lost, truncated, late or malformed.
     Broken,
     /// The server's process ended while it had the request.
     ServerEnded,
-    /// Another host told of some legs.
+    /// Another host sent an update on some of the legs.
     Branch(BranchUpdate),
 }
 
-/// What another host told.
+/// An update of another host on the legs that it was asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BranchUpdate {
-    /// Legs whose part it brought.
+    /// Legs whose part it returned.
     pub done: Vec<usize>,
-    /// Legs for which it sent nothing.
+    /// Legs that it sent to no backend server.
     pub declined: Vec<usize>,
-    /// Legs whose send brought nothing.
+    /// Legs whose sends failed.
     pub failed: Vec<usize>,
-    /// Whether it has told of all legs.
+    /// Whether this is its last update.
     pub last: bool,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
-    /// Wait for a reply, and until then at most.
+    /// Wait for a reply, but no longer than until this time.
     Wait(Time),
-    /// Answer with the parts that these sends brought.
+    /// Answer with the parts that these sends returned.
     Answer {
-        /// The sends, in the order of the legs; one that brought several legs is named once.
+        /// The sends in ascending order; one that returned several parts is listed once.
         sends: Vec<SendId>,
-        /// Legs whose part is left out.
+        /// Number of legs whose part is left out.
         missing: usize,
     },
-    /// Pass the backend server's own failure on.
+    /// Pass on the backend server's own failure, from this send.
     Pass(SendId),
-    /// It has not run and will not; say when to come back.
+    /// Refuse: the request has not run and will not; the caller may retry after this time.
     Refuse(Duration),
-    /// It has not run and will not, because it ends the servers that run it; say when to come back.
+    /// Refuse because the request ends the servers that run it; the caller may retry after this
+    /// time.
     Quarantine(Duration),
-    /// It may have run and there is no answer.
+    /// Fail: the request may have run, and there is no answer.
     Fail,
-    /// It may have run and the time is over.
+    /// Time out: the request may have run, and its deadline has passed.
     Timeout,
 }
--- a/crates/lentillift-scatter/src/plan.rs
+++ b/crates/lentillift-scatter/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is asked, and what makes an answer.
+//! The plan of a request: which services it asks, by when, and what makes a sufficient answer.
 
 use crate::caller::Caller;
 use crate::config::Route;
@@ -12,35 +12,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What is asked, and what makes an answer.
+/// The plan of a request.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The route.
+    /// The route of the request.
     pub route: Arc<Route>,
-    /// The picture that the request arrived under.
+    /// The latest view when the request arrived.
     pub view: Arc<View>,
     /// Services to ask, one for each shard.
     pub services: Vec<id::Service>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Time,
-    /// When an answer that lacks parts should leave.
+    /// When a sufficient but incomplete answer should be sent.
     pub soft_deadline: Time,
     /// When the caller stops waiting.
     pub deadline: Time,
-    /// Least share of the shards that makes an answer; none if whatever is there will do.
+    /// Minimum fraction of the shards in an answer; none if any will do.
     pub min_coverage: Option<f64>,
-    /// Backend servers that each shard's request may be sent to.
+    /// Maximum number of backend servers that each shard's request may be sent to.
     pub attempts: u32,
-    /// What the request has in common with its other attempts; none if nothing is to be remembered of it.
+    /// Content that the request shares with its retries; none if it is exempt from quarantine.
     pub fingerprint: Option<Fingerprint>,
     /// Whether other hosts may be asked.
     pub branches: bool,
-    /// Whether only backend servers of this failure domain may be asked, and no leg twice.
+    /// Whether only backend servers of this failure domain may be asked, and no leg may be sent
+    /// twice.
     pub local_only: bool,
 }
 
 impl Plan {
-    /// A plan for a request of `caller` that arrived at `now` and has `left` to be answered.
+    /// Creates the plan for a request of `caller` that arrived at `now`, with `left` until it stops
+    /// waiting.
     pub fn new(
         core: &mut Core,
         caller: &mut Caller,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// A plan for another host's question that arrived at `now`.
+    /// Creates the plan for a request from another host that arrived at `now`.
     pub fn branch(
         route: &Arc<Route>,
         view: &Arc<View>,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The same plan for a request with this content.
+    /// Sets the fingerprint of the request's content.
     pub fn with_fingerprint(self, fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint: Some(fingerprint),
--- a/crates/lentillift-scatter/src/query.rs
+++ b/crates/lentillift-scatter/src/query.rs
@@ -1,18 +1,19 @@
-//! One request from its arrival to its answer.
+//! State machine of one request, from its arrival to its answer.
 //!
-//! Patterns it answers:
+//! Failures that it handles:
 //!
 //! - A search over twenty shards meets a paused backend server in every second case. Each shard's
-//!   part is asked for again at another replica as soon as it takes longer than most do; the budget
-//!   bounds how often.
-//! - A part that is still missing when the answer has to leave to arrive in time is left out, if the
-//!   caller accepts an answer without it: an answer that is late is worth little to its caller,
-//!   and one that lacks a shard in twenty is worth most of the whole. The answer says what it lacks.
-//! - Shards without a replica in this failure domain are asked for through one host in a failure
-//!   domain that has them. It merges, so that one small reply crosses in place of twenty.
-//! - A request that nobody can serve is refused at once.
-//! - A request under which servers end, with no reply of any, goes to one server at a time, see
-//!   [`lentillift_fleet::quarantine`].
+//!   part is requested from another replica as soon as it takes longer than most do; the budget
+//!   limits how often.
+//! - A part that is still missing when the answer has to be sent is left out, if the caller accepts
+//!   an answer without it: a late answer is worth little to its caller, and one that lacks a shard
+//!   in twenty is worth nearly as much as a complete one. The answer says what it lacks.
+//! - Shards without a replica in this failure domain are requested through one host of a failure
+//!   domain that has them. It merges their parts, so one small reply crosses domains instead of
+//!   twenty.
+//! - A request that no backend server can serve is refused at once.
+//! - A request during which servers end, without a reply from any, is sent to one server at a time,
+//!   see [`lentillift_fleet::quarantine`].
 
 mod ended;
 mod first_sends;
@@ -32,16 +33,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A send to another host.
+/// A branch: a send to another host for several legs.
 #[derive(Debug)]
 struct Branch {
     host: id::Host,
     domain: id::Domain,
-    /// Legs of which nothing was heard.
+    /// Legs that the host has not reported on.
     legs: Vec<usize>,
-    /// When it should tell for the first time what it has.
+    /// When the host's first update is due.
     first_update_due: Time,
-    /// Whether it has told anything.
+    /// Whether the host has sent the update that was due.
     has_reported: bool,
 }
 
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Notes how long its first word took, if it was told when it was due rather than as soon as all
-    /// was there.
+    /// Measures the delay of the first update, if it was sent because it was due rather than
+    /// because all parts were complete earlier.
     fn note_reply_delay(&self, core: &mut Core, now: Time) {
         if !self.has_reported && now >= self.first_update_due {
             core.hosts
@@ -71,21 +72,21 @@
 pub struct Query {
     plan: Plan,
     legs: Vec<Leg>,
-    /// Sends to other hosts that have not ended.
+    /// Branches that have not ended.
     branches: BTreeMap<SendId, Branch>,
-    /// Sends that were made as repeats.
+    /// Number of sends that were made as repeats.
     repeats: u32,
-    /// Repeats that the budget did not allow.
+    /// Number of repeats that the budget denied.
     repeats_denied: u32,
     rejections: usize,
     /// Whether it is the canary of a quarantined request.
     is_quarantine_canary: bool,
-    /// Time for which its request is quarantined, once it is.
+    /// Remaining time of the quarantine, if its request was refused for it.
     quarantined: Option<Duration>,
 }
 
 impl Query {
-    /// Starts; says what to send.
+    /// Starts the request; returns the first sends.
     pub fn start(core: &mut Core, plan: Plan, now: Time) -> (Self, Vec<Send>) {
         let legs = plan.services.iter().cloned().map(Leg::new).collect();
         let mut query = Self {
@@ -115,17 +116,17 @@
         (query, sends)
     }
 
-    /// The plan.
+    /// Returns the plan of the request.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Sends that were made as repeats.
+    /// Returns the number of sends that were made as repeats.
     pub fn repeats(&self) -> u32 {
         self.repeats
     }
 
-    /// Repeats that the budget did not allow.
+    /// Returns the number of repeats that the budget denied.
     pub fn repeats_denied(&self) -> u32 {
         self.repeats_denied
     }
@@ -135,16 +136,17 @@
         self.quarantined.is_some()
     }
 
-    /// The service of a leg.
+    /// Returns the service of a leg; none if there is no such leg.
     pub fn service(&self, leg: usize) -> Option<&id::Service> {
         self.legs.get(leg).map(|leg| &leg.service)
     }
 
-    /// The legs whose part is not here.
+    /// Iterates over the legs whose part is missing.
     pub fn missing(&self) -> impl Iterator<Item = &Leg> {
         self.legs.iter().filter(|leg| leg.done.is_none())
     }
 
+    /// Whether this number of parts makes an answer that the caller accepts.
     fn is_sufficient(&self, parts: usize) -> bool {
         match self.plan.min_coverage {
             Some(least) => {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Says what to do next.
+    /// Returns what to do next.
     pub fn next(&self, now: Time) -> Next {
         let done = self.legs.iter().filter(|leg| leg.done.is_some()).count();
         let lost = self.legs.iter().filter(|leg| leg.is_lost()).count();
@@ -174,7 +176,7 @@
         Next::Wait(self.next_wakeup(now))
     }
 
-    /// When to look again if no send ends before.
+    /// Returns when to call [`Query::tick`] if no send ends before.
     pub fn next_wakeup(&self, now: Time) -> Time {
         let hedges = self.legs.iter().filter(|leg| leg.done.is_none());
         let hedges = hedges.filter_map(|leg| leg.hedge_at);
@@ -187,11 +189,12 @@
         due.min(self.plan.deadline)
     }
 
-    /// How far each leg has come.
+    /// Iterates over the progress of all legs.
     pub fn states(&self) -> impl Iterator<Item = State> {
         self.legs.iter().map(Leg::state)
     }
 
+    /// Returns the answer made of the parts that are here.
     fn answer(&self) -> Next {
         let mut sends: Vec<SendId> = self.legs.iter().filter_map(|leg| leg.done).collect();
         let missing = self.legs.len() - sends.len();
@@ -200,6 +203,7 @@
         Next::Answer { sends, missing }
     }
 
+    /// Returns the result of a request without a sufficient answer.
     fn failure(&self, is_expired: bool) -> Next {
         if let [leg] = self.legs.as_slice()
             && let Some(send_id) = leg.failed
@@ -214,8 +218,8 @@
         }
     }
 
-    /// When a caller that is refused should come back: after half an objective, when a pause or a
-    /// short queue has passed.
+    /// Returns the time after which a refused caller should retry: half an objective, by when a pause
+    /// or a short queue has passed.
     fn retry_after(&self) -> Duration {
         self.plan.route.objective / 2
     }
--- a/crates/lentillift-scatter/src/query/ended.rs
+++ b/crates/lentillift-scatter/src/query/ended.rs
@@ -1,4 +1,4 @@
-//! What follows from how a send ended.
+//! Handles how sends end.
 
 use super::Branch;
 use super::Query;
@@ -14,7 +14,7 @@
 use lentillift_core::time::Time;
 
 impl Query {
-    /// Takes in how a send ended; says what to send now.
+    /// Handles the end of a send; returns the sends that follow from it.
     pub fn ended(
         &mut self,
         core: &mut Core,
@@ -39,7 +39,7 @@
         match outcome {
             Outcome::Part { .. } => {
                 state.may_have_run.push(backend);
-                // A second reply for a leg is not needed.
+                // A second reply for the same leg is not needed.
                 if state.done.is_none() {
                     state.done = Some(send_id);
                     state.hedge_at = None;
@@ -78,6 +78,7 @@
         self.retry(core, leg, now)
     }
 
+    /// Records the end of a send in the state of its server.
     fn record_outcome(
         &self,
         core: &mut Core,
@@ -109,6 +110,7 @@
         core.ended(sent.send_id, &server.entry.id, observation, now, load);
     }
 
+    /// Handles an update or the end of a branch; returns the sends that follow from it.
     fn branch_updated(
         &mut self,
         core: &mut Core,
@@ -117,7 +119,7 @@
         mut branch: Branch,
         outcome: Outcome,
     ) -> Vec<Send> {
-        // Whether the host itself told, rather than this one giving it up.
+        // Whether the host itself sent an update, as opposed to this host giving it up.
         let is_update = matches!(outcome, Outcome::Branch(_));
         let update = match outcome {
             Outcome::Branch(update) => update,
@@ -147,8 +149,8 @@
             let state = &mut self.legs[*leg];
             state.remove(send_id);
             state.may_have_run_in.push(branch.domain.clone());
-            // The host's records are merged and can't be taken apart: what another send brought for
-            // this leg is left out in its favour.
+            // The host's records are merged and can't be separated: its part replaces what another
+            // send returned for this leg.
             state.done = Some(send_id);
             state.hedge_at = None;
             state.waits_for_canary = false;
@@ -172,8 +174,8 @@
             lists.iter().any(|list| list.contains(leg))
         };
         branch.legs.retain(|leg| !is_reported(leg));
-        // What it declines it tells at once; only when it was due to tell what it has are the others
-        // late. Taken for late at its first word, whole searches were sent twice.
+        // Declined legs are reported early; the others are late only once the first update was due.
+        // When they counted as late from the first message on, whole searches were sent twice.
         let due = now >= branch.first_update_due;
         if due && !branch.has_reported && !update.last {
             to_retry.extend(&branch.legs);
@@ -191,7 +193,7 @@
         sends
     }
 
-    /// Takes in how a send ended after the request was answered.
+    /// Handles the end of a send after the request was answered.
     pub fn ended_after_answer(
         &mut self,
         core: &mut Core,
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Gives up on all sends that have not ended.
+    /// Abandons all sends that have not ended.
     pub fn abandon(&mut self, core: &mut Core, now: Time) {
         for sent in self.legs.iter_mut().flat_map(|leg| leg.in_flight.drain(..)) {
             if let Target::Server(server) = &sent.target {
--- a/crates/lentillift-scatter/src/query/first_sends.rs
+++ b/crates/lentillift-scatter/src/query/first_sends.rs
@@ -1,4 +1,4 @@
-//! The first sends of a request, and what every send has in common.
+//! The first sends of a request, and the parts common to all sends.
 
 use super::Branch;
 use super::Query;
@@ -18,16 +18,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Fewest shards for which another host is asked; below, its reply is no smaller than theirs.
+/// Minimum number of shards for a branch; with fewer, its reply is no smaller than theirs.
 const MIN_BRANCH_LEGS: usize = 3;
 
-/// Largest part of the objective that is allowed for the way to another host and back.
+/// Maximum fraction of the objective that is allowed for the round trip to another host.
 ///
-/// With [`max_hedge_fraction`](crate::core::Options::max_hedge_fraction) before it, two fifths of the objective are left
-/// for another replica's reply.
+/// Together with [`max_hedge_fraction`](crate::core::Options::max_hedge_fraction) before it, this
+/// leaves two fifths of the objective for another replica's reply.
 const MAX_ROUND_TRIP_FRACTION: f64 = 0.25;
 
 impl Query {
+    /// Chooses a replica for each leg; none where no replica is usable or this host declines the leg.
     pub(super) fn choices(&self, core: &mut Core, now: Time) -> Vec<Option<Choice>> {
         let typical = core.reply_times(&self.plan.route).typical;
         let view = &self.plan.view;
@@ -37,9 +38,9 @@
         let legs = self.legs.iter();
         legs.map(|leg| {
             let choice = core.choose(view, &leg.service, typical, now, is_local)?;
-            // Another host asks for this shard and can go elsewhere at once, without a repeat. Sent to a
-            // server that is slow for good, each of its requests would need one, and the budget of that
-            // shard would be gone within a second.
+            // The host that sent this branch can go elsewhere at once, without a repeat. If the
+            // request went to a server that is permanently slow, each would need a repeat, and the
+            // budget of that shard would be exhausted within a second.
             let replica = core.replicas.get(&choice.server.entry.id);
             let slow = replica.is_slow(now) && declines;
             let declined = self.plan.local_only && (slow || replica.is_backed_off(now));
@@ -48,7 +49,7 @@
         .collect()
     }
 
-    /// Makes the first sends: to hosts for many legs at once, directly for the others.
+    /// Makes the first sends: branches for many legs at once, direct sends for the others.
     pub(super) fn first_sends(
         &mut self,
         core: &mut Core,
@@ -76,7 +77,7 @@
         sends
     }
 
-    /// Legs that other hosts should be asked for.
+    /// Groups legs into branches.
     fn groups(&self, core: &Core, choices: &[Option<Choice>], now: Time) -> Vec<Branch> {
         let reachable = (0..self.legs.len()).filter(|leg| choices[*leg].is_some());
         let (local, remote) = reachable.partition(|leg| {
@@ -88,7 +89,7 @@
         groups
     }
 
-    /// The leg's backend servers that take work.
+    /// Iterates over the leg's backend servers that take work.
     fn servers<'a>(&self, core: &'a Core, leg: usize) -> impl Iterator<Item = &'a Arc<Server>> {
         let service = &self.legs[leg].service;
         let usable = core.view.as_ref().and_then(|view| {
@@ -101,7 +102,8 @@
         usable.into_iter().flatten()
     }
 
-    /// Legs with a replica here that are too many for one host, by the hosts that share them.
+    /// Groups legs with a local replica, if they are too many for one host, by the hosts that share
+    /// them.
     fn local_groups(&self, core: &Core, legs: Vec<usize>, now: Time) -> Vec<Branch> {
         let buckets = legs.len().div_ceil(core.options.max_direct.max(1));
         if buckets < 2 || !core.options.switches.is_on(Mechanism::Owners) {
@@ -120,10 +122,10 @@
         parts.collect()
     }
 
-    /// Legs without a replica in this failure domain, by the hosts that should be asked for them.
+    /// Groups legs without a replica in this failure domain by the hosts to ask for them.
     ///
-    /// As few hosts as possible: of replicas in two other failure domains either will do, and one
-    /// reply for all of them is smaller than two.
+    /// Uses as few hosts as possible: with replicas in two other failure domains either will do,
+    /// and one reply for all legs is smaller than two.
     fn remote_groups(&self, core: &Core, mut rest: Vec<usize>, now: Time) -> Vec<Branch> {
         let mut groups = Vec::new();
         while !rest.is_empty() {
@@ -159,7 +161,7 @@
         groups
     }
 
-    /// Asks a backend server.
+    /// Sends to a backend server.
     pub(super) fn send_direct(
         &mut self,
         core: &mut Core,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Counts a leg's request for the budget, once, at the host that has the caller.
+    /// Counts a leg's request towards the budget, once, on the host that serves the caller.
     fn earn(&mut self, core: &mut Core, leg: usize, now: Time) {
         if self.plan.local_only {
             return;
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Asks another host for many legs.
+    /// Sends a branch to another host.
     fn send_branch(&mut self, core: &mut Core, mut branch: Branch, now: Time) -> Send {
         let send_id = core.next_send_id();
         core.hosts.sent(&branch.host, now);
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Time that a receiver gets: what is left, and for a shard no more than is useful.
+    /// Returns the timeout of a send: the time left, and for a shard no more than is useful.
     fn send_timeout(&self, core: &Core, now: Time) -> Duration {
         let left = self.plan.deadline.saturating_sub(now);
         if self.legs.len() < 2 {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Time after which another replica is asked; none if none may be.
+    /// Returns the time after which another replica is tried; none if no other may be.
     pub(super) fn hedge_delay(&self, core: &mut Core) -> Option<Duration> {
         if self.plan.route.kind == Kind::Once || self.plan.local_only {
             return None;
--- a/crates/lentillift-scatter/src/query/retry.rs
+++ b/crates/lentillift-scatter/src/query/retry.rs
@@ -1,4 +1,4 @@
-//! Asking another replica: after a send that brought nothing, or because it takes too long.
+//! Sends to another replica: retries after a send without a part, and hedges of a late one.
 
 use super::Query;
 use crate::config::Kind;
@@ -12,35 +12,36 @@
 use lentillift_fleet::quarantine::Next;
 use std::time::Duration;
 
-/// Largest part of the shards that are hedged as stragglers.
+/// Maximum fraction of the shards that are hedged as stragglers.
 ///
-/// If more are late than that, this host is what is slow: it has not got round to sending or reading
-/// yet, and to send everything twice would make it slower still.
+/// If more are late, this host is what is slow: it has not yet sent or read everything, and sending
+/// all of it twice would slow it down further.
 const MAX_HEDGED_FRACTION: f64 = 0.25;
 
-/// Time after which it is looked again whether replies have come in.
+/// Time after which paused hedges are checked again for replies that have come in.
 const HEDGE_RECHECK: Duration = Duration::from_millis(4);
 
-/// Part of the objective after which that no longer counts: a reply that is sent for later comes late.
+/// Fraction of the objective after which hedges are no longer paused: the reply to a later one
+/// would be late.
 const HEDGE_PAUSE_FRACTION: f64 = 0.5;
 
-/// Shortest pause before a replica that turned a request away is asked again.
+/// Minimum delay before a replica that rejected a request is tried again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(8);
 
-/// Refusals by backend servers after which a request is given up.
+/// Number of rejections by backend servers after which a request is given up.
 const MAX_REJECTIONS: usize = 3;
 
-/// Whether backend servers that turned a leg away may be asked again.
+/// Whether backend servers that rejected a leg may be tried again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RejectedServers {
-    /// It has just happened: they would do it again.
+    /// No: the rejection has just happened, and they would reject it again.
     Skip,
-    /// Some time has passed.
+    /// Yes: some time has passed.
     Retry,
 }
 
 impl Query {
-    /// Asks another replica for a leg whose send ended without a part.
+    /// Sends to another replica for a leg whose send ended without a part.
     pub(super) fn retry(&mut self, core: &mut Core, leg: usize, now: Time) -> Vec<Send> {
         let state = &self.legs[leg];
         if state.done.is_some() {
@@ -53,12 +54,12 @@
         self.send_again(core, leg, now, RejectedServers::Skip)
     }
 
-    /// Whether a request to a single service was turned away too often to go on.
+    /// Whether a request to a single service was rejected too often to go on.
     fn rejections_exhausted(&self) -> bool {
         self.legs.len() == 1 && self.rejections >= MAX_REJECTIONS
     }
 
-    /// Sends once more for a leg, or sets the time of the next look.
+    /// Sends once more for a leg, or schedules the next check.
     fn send_again(
         &mut self,
         core: &mut Core,
@@ -94,7 +95,7 @@
                 .as_ref()
                 .is_none_or(|other| core.is_backed_off(other, now))
         {
-            // Whoever asked has other replicas and can go there without a repeat.
+            // The host that asked has other replicas and can use them without a repeat.
             self.legs[leg].hedge_at = None;
             return Vec::new();
         }
@@ -111,7 +112,8 @@
         vec![self.send_direct(core, leg, choice.server, now, repeat)]
     }
 
-    /// Sends a canary, for this leg or another one; looks again later if no replica is left for now.
+    /// Sends a canary for this leg or another one; checks again later if no replica is available
+    /// for now.
     fn send_canary_again(&mut self, core: &mut Core, leg: usize, now: Time) -> Vec<Send> {
         if !self.has_attempts() {
             self.give_up_legs();
@@ -128,7 +130,7 @@
         sends
     }
 
-    /// Backend servers that each leg may be sent to.
+    /// Returns how many backend servers each leg may be sent to.
     pub(super) fn attempt_limit(&self) -> usize {
         match self.plan.route.kind {
             Kind::Once => 1,
@@ -136,8 +138,8 @@
         }
     }
 
-    /// What one more send for a leg is for: whether the caller would accept the answer without it and
-    /// without the others that are in the same state.
+    /// Returns what one more send for a leg is for: whether the caller would accept the answer
+    /// without this leg and without the others in the same state.
     fn purpose(&self, leg: usize) -> Purpose {
         let Some(coverage) = self.plan.min_coverage else {
             return Purpose::Part;
@@ -155,7 +157,7 @@
         }
     }
 
-    /// A replica that was not asked for this leg, and whose reply would come in time.
+    /// Chooses a replica that was not tried for this leg and whose reply would come in time.
     pub(super) fn other_replica(
         &self,
         core: &mut Core,
@@ -182,6 +184,7 @@
         (now + choice.expected < self.plan.deadline).then_some(choice)
     }
 
+    /// Schedules the next check of a leg, if one can still be of use.
     fn check_later(&mut self, core: &mut Core, leg: usize, now: Time) -> Vec<Send> {
         let pause = core
             .reply_times(&self.plan.route)
@@ -190,13 +193,13 @@
         let at = now + pause;
         let in_time = at < self.plan.deadline;
         let single = self.legs.len() == 1 && self.legs[leg].in_flight.is_empty();
-        // Nothing is to be gained by waiting for a service that nobody serves now.
+        // Waiting is no use for a service that currently has no usable server.
         let hopeless = single && self.legs[leg].cannot_have_run() && self.rejections == 0;
         self.legs[leg].hedge_at = (in_time && !hopeless).then_some(at);
         Vec::new()
     }
 
-    /// Says what to send now that time has passed.
+    /// Returns the sends that are due now.
     pub fn tick(&mut self, core: &mut Core, now: Time) -> Vec<Send> {
         let mut sends = Vec::new();
         let paused_until = self.hedges_paused_until(now);
@@ -217,7 +220,8 @@
         sends
     }
 
-    /// Until when hedges wait because too much is late for it to be the servers' fault.
+    /// Returns until when hedges are paused, if too many legs are late for the servers to be the
+    /// cause.
     fn hedges_paused_until(&self, now: Time) -> Option<Time> {
         let open = self.legs.iter().filter(|leg| leg.done.is_none()).count();
         let few = (self.legs.len() as f64 * MAX_HEDGED_FRACTION).max(2.0);
@@ -226,7 +230,7 @@
         is_paused.then(|| last.min(now + HEDGE_RECHECK))
     }
 
-    /// Holds a host that is late for one in trouble.
+    /// Avoids the hosts whose first update for this leg is late.
     fn avoid_late_hosts(&self, core: &mut Core, leg: usize, now: Time) {
         for sent in &self.legs[leg].in_flight {
             let has_reported = self
--- a/crates/lentillift-scatter/src/query/suspect.rs
+++ b/crates/lentillift-scatter/src/query/suspect.rs
@@ -1,8 +1,8 @@
-//! What is done about a request under which servers ended.
+//! Handles requests during which servers ended.
 //!
-//! Its content may be what ends them. Sent on as usual it would end every replica of every shard; not sent on,
-//! a request that was merely there would not be served. So one send at a time finds out, and all other
-//! legs wait for it.
+//! The content of the request may be what ends them. Sent on as usual, it would end every replica
+//! of every shard; not sent at all, a request that was only in flight at the time would not be
+//! served. So one send at a time, the canary, tests the request while all other legs wait.
 
 use super::Query;
 use super::retry::RejectedServers;
@@ -19,9 +19,10 @@
 use std::time::Duration;
 
 impl Query {
-    /// How the request is treated.
+    /// Decides how the request is treated.
     ///
-    /// Another host that asks for parts knows its caller: it decides, and is told of what is known here.
+    /// For a request from another host the decision is left to that host, which knows the caller;
+    /// it is told what is known here by refusing the request.
     pub(super) fn admit(&mut self, core: &mut Core, now: Time) -> Admission {
         let fingerprint = self.plan.fingerprint;
         if self.plan.local_only {
@@ -37,7 +38,7 @@
         admission
     }
 
-    /// Sends for one leg; all others wait for what comes of it.
+    /// Sends the canary for one leg; all others wait for its result.
     pub(super) fn first_canary(
         &mut self,
         core: &mut Core,
@@ -53,10 +54,11 @@
         send.into_iter().collect()
     }
 
-    /// Legs in the order in which a canary is sent for one of them.
+    /// Returns the legs in the order in which a canary is tried for them.
     ///
-    /// Another for each request: several that are suspect at once, because servers ended under all of them, would
-    /// otherwise ask the same server, and the one that ends it would be held for all.
+    /// The order differs between requests. Otherwise several that become suspect at once, because
+    /// servers ended during all of them, would be sent to the same server, and the one that ends it
+    /// would be blamed on all.
     fn canary_order(&self) -> impl Iterator<Item = usize> + use<> {
         let count = self.legs.len();
         let fingerprint = self.plan.fingerprint.map_or([0; 16], |known| known.0);
@@ -65,6 +67,7 @@
         (0..count).map(move |step| (start as usize + step) % count)
     }
 
+    /// Sends a canary for a leg, with all of the remaining time as its timeout.
     fn send_canary(
         &mut self,
         core: &mut Core,
@@ -76,7 +79,7 @@
         self.legs[leg].waits_for_canary = false;
         let mut send = self.send_direct(core, leg, choice.server, now, repeat);
         send.canary = true;
-        // Cut short it would say nothing of a server that ends a little later.
+        // With a shorter timeout it would miss a server that ends a little later.
         send.timeout = self.plan.deadline.saturating_sub(now);
         if let Some(last) = self.legs[leg].in_flight.last_mut() {
             last.canary = true;
@@ -84,14 +87,14 @@
         send
     }
 
-    /// Whether some leg may still be sent for.
+    /// Whether some leg may still be sent to another backend server.
     pub(super) fn has_attempts(&self) -> bool {
         let limit = self.attempt_limit();
         let mut legs = self.legs.iter();
         legs.any(|leg| leg.done.is_none() && leg.possible_runs() < limit)
     }
 
-    /// Gives up all legs for which nothing is under way.
+    /// Gives up all legs without a send in flight.
     pub(super) fn give_up_legs(&mut self) {
         for leg in &mut self.legs {
             leg.waits_for_canary = false;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Sends a canary for the first leg that has a replica left; all others wait.
+    /// Sends a canary for the first leg that has a replica available; all others wait.
     pub(super) fn next_canary(&mut self, core: &mut Core, now: Time) -> Vec<Send> {
         let limit = self.attempt_limit();
         for leg in self.canary_order() {
@@ -122,7 +125,7 @@
         Vec::new()
     }
 
-    /// How one more send may be made.
+    /// Returns whether and how one more send may be made.
     pub(super) fn next_send(&mut self, core: &Core, now: Time) -> quarantine::Next {
         if self.has_reply() {
             return quarantine::Next::Send;
@@ -143,7 +146,7 @@
         self.legs.iter().any(|leg| leg.done.is_some())
     }
 
-    /// Lets all legs that wait be looked at.
+    /// Makes all legs that wait for a canary due now.
     pub(super) fn release_waiting(&mut self, now: Time) {
         for leg in &mut self.legs {
             if std::mem::take(&mut leg.waits_for_canary) && leg.done.is_none() {
@@ -152,16 +155,17 @@
         }
     }
 
-    /// Notes that a server ran the request and replied.
+    /// Records that a server ran the request and replied.
     pub(super) fn server_answered(&mut self, core: &mut Core, now: Time) {
         core.server_answered(self.plan.fingerprint, now);
         self.is_quarantine_canary = false;
         self.release_waiting(now);
     }
 
-    /// Notes that a server ended while it had the request.
+    /// Records that a server ended while it had the request.
     ///
-    /// A server that ends under a request of which another has brought a part ends for another reason.
+    /// If another server has already returned a part of the request, the request is not what ended
+    /// this one.
     pub(super) fn server_ended(
         &mut self,
         core: &mut Core,
@@ -174,16 +178,16 @@
         }
     }
 
-    /// Notes the end of a canary without a reply: the next leg that waits may find out.
+    /// Records that a canary ended without a reply: the next waiting leg may be tried.
     pub(super) fn canary_ended(&mut self, now: Time) {
         self.is_quarantine_canary = false;
         self.release_waiting(now);
     }
 
-    /// Whether as many legs have been asked for twice as an answer may lack, and nothing has replied.
+    /// Whether as many legs were sent twice as an answer may lack, without any reply.
     ///
-    /// What is late may be ended by its request before it replies. The allowance doubles with each half
-    /// of the objective, for hosts and connections that stand still.
+    /// A late send may be about to end its server. The limit doubles with each half of the
+    /// objective, to allow for hosts and connections that are stalled.
     pub(super) fn hedges_exhausted(&self, core: &Core, now: Time) -> bool {
         if self.legs.len() < 2 || core.tracked(self.plan.fingerprint).is_none() {
             return false;
@@ -201,7 +205,7 @@
         !self.has_reply() && sent_twice >= allowed
     }
 
-    /// What follows from the quarantine of the request.
+    /// Returns the result of a quarantined request.
     pub(super) fn quarantine_result(&self, left: Duration) -> Next {
         let cannot_have_run = self.legs.iter().all(|leg| leg.cannot_have_run());
         match cannot_have_run {
--- a/crates/lentillift-scatter/src/record.rs
+++ b/crates/lentillift-scatter/src/record.rs
@@ -1,4 +1,4 @@
-//! Merging the parts of an answer: opaque records of a fixed length, ordered byte by byte.
+//! Merges the parts of an answer: opaque records of a fixed length, ordered bytewise.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -6,9 +6,9 @@
 /// Length of a record, in bytes.
 pub const LENGTH: usize = 16;
 
-/// The greatest `limit` records of all `parts`, greatest first; equal ones all count.
+/// Returns the `limit` greatest records of all `parts` in descending order; duplicates are kept.
 ///
-/// What is left at the end of a part and is shorter than a record is none.
+/// A remainder at the end of a part that is shorter than a record is ignored.
 pub fn merge<'a, I>(parts: I, limit: usize) -> Bytes
 where
     I: IntoIterator<Item = &'a [u8]>,
