--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -1,4 +1,4 @@
-//! Searches that other hosts are asked for parts of, over modelled backend servers in virtual time.
+//! Searches that use branches to other hosts, over modelled backend servers in virtual time.
 
 mod common;
 
@@ -32,8 +32,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shards without a replica here are asked for through one host. It tells of all but one shard early;
-/// the missing one is asked for directly at the other replica, and no third server ever runs it.
+/// Shards without a local replica go through one branch. Its host returns all but one shard early;
+/// the missing one is requested directly from the other replica, and no third server ever runs it.
 #[test]
 fn a_late_shard_of_a_branch_is_requested_directly() {
     let (mut core, plan) = remote_search();
@@ -70,8 +70,8 @@
     assert_eq!(query.next(now + MS * 2), expected);
 }
 
-/// The host that was asked has just died. Its shards are asked for directly, and the next search
-/// does not go through it.
+/// The host that was asked has just died. Its shards are requested directly, and the next search
+/// does not use that host.
 #[test]
 fn a_dead_host_is_avoided() {
     let servers = (0..5).map(|n| server(&format!("b{n}"), &format!("s{n}"), "b"));
@@ -88,7 +88,7 @@
     assert_eq!(next.len(), 5, "directly: {next:?}");
 }
 
-/// Whether a search that begins at `now` goes to another host.
+/// Whether a search that begins at `now` uses a branch.
 fn uses_a_branch(core: &mut Core, plan: &Plan, now: Time) -> bool {
     let (_, first) = Query::start(core, plan.clone(), now);
     first
@@ -96,10 +96,10 @@
         .any(|send| matches!(send.target, Target::Host { .. }))
 }
 
-/// Most backend servers turn half of their requests away for seconds. The host that is asked has one replica
-/// of each shard to send to and loses half of the shards; there are repeats for a fifth, and searches fail
-/// for want of a few. Sent directly, each goes round the servers that turned it away before. Once the
-/// servers are well again, hosts are asked as before.
+/// Most backend servers reject half of their requests for seconds. A branch host has one replica of
+/// each shard to use and loses half of the shards; there are repeats for a fifth, and searches fail
+/// because a few shards are missing. Direct sends avoid the servers that rejected before. Once the
+/// servers have recovered, branches are used as before.
 #[test]
 fn branches_stop_while_losses_exceed_repeats() {
     let (mut core, plan) = remote_search();
@@ -121,8 +121,8 @@
     assert!(uses_a_branch(&mut core, &plan, well));
 }
 
-/// What a host that was asked tells of lost shards counts, what it declined or did not tell does not: it
-/// may have died, which says nothing of the servers.
+/// Shards that a branch host reports as lost count towards the loss. Shards that it declined or did
+/// not report don't count: it may have died, which says nothing about the servers.
 #[test]
 fn only_reported_losses_count() {
     let lost = |outcome: Outcome| {
@@ -146,8 +146,9 @@
     assert_eq!(lost(Outcome::Unreachable), 0.0);
 }
 
-/// A host is asked for shards by another one, which has counted their requests for the budget. Were
-/// they counted again here, the hosts together would repeat a fifth more than the servers bear.
+/// The host that serves the caller has counted the requests of a branch towards the budget. If the
+/// branch host counted them again, the hosts together would repeat a fifth more than the servers
+/// can take.
 #[test]
 fn a_branch_host_earns_no_repeats() {
     let (mut core, route) = pairs(20, 1.0);
@@ -166,8 +167,8 @@
     assert!(!core.spend(&"s0".into(), START, Purpose::Answer));
 }
 
-/// The server near the host that is asked turns a shard's request away. That host does not repeat it,
-/// here or elsewhere; the one that has the caller does.
+/// The local server of a branch host rejects a shard's request. The branch host does not repeat it,
+/// locally or elsewhere; the host that serves the caller does.
 #[test]
 fn a_branch_host_repeats_nothing() {
     let (mut core, route) = pairs(1, 1.0);
@@ -181,9 +182,9 @@
     assert!(query.tick(&mut core, START + MS * 500).is_empty());
 }
 
-/// All hosts have a small share of a processor, and their answers come fifteen milliseconds after they
-/// are due, each time. Held for late, every part of every search is asked for twice, and the budget is
-/// gone when a backend server is slow.
+/// All hosts have a small share of a processor, and their updates come fifteen milliseconds after
+/// they are due, each time. If they counted as late, every part of every search would be requested
+/// twice, and the budget would be exhausted when a backend server is slow.
 #[test]
 fn consistently_slow_hosts_are_waited_for() {
     let route = Arc::new(route(scatter(5, 1.0), Kind::Idempotent));
@@ -193,7 +194,7 @@
     let mut now = START;
     let mut last = usize::MAX;
     for _ in 0..40 {
-        // Long after the host was last held for late, so that it is asked again.
+        // Long after the host was last considered late, so that it is asked again.
         now += Duration::from_secs(3);
         let plan = Plan::new(
             &mut core,
@@ -230,10 +231,11 @@
     assert_eq!(last, 0, "asked again before the host's usual time");
 }
 
-/// A backend server crashed while the service that publishes is away, and another one has its address. The
-/// host that was asked for its shard had no other replica near, and tried it with every search; so did
-/// late searches. 426 requests in ten seconds came to the other server, whose service may get 235 more than
-/// there are searches. Lines of branches showed `another server's address` in each of them.
+/// A backend server crashed while the publishing service was unavailable, and another one has its
+/// address. The branch host had no other local replica for its shard and tried it with every
+/// search, and so did late searches. 426 requests in ten seconds came to the other server, whose
+/// service may get 235 more than there are searches. Log lines of branches showed `another server's
+/// address` in each of them.
 #[test]
 fn an_address_of_another_server_is_tried_once() {
     let (mut core, plan) = search_with(remote_pairs(5));
@@ -261,7 +263,7 @@
         }
     }
     assert_eq!(tried, 1);
-    // Published anew, it is asked again.
+    // Once it is published anew, it is tried again.
     let mut latest = (**core.view.as_ref().expect("a view")).clone();
     let mut again = (*server("b2", "s2", "b")).clone();
     again.entry.process_start_ms = 2;
@@ -274,8 +276,8 @@
     assert!(choice.is_some());
 }
 
-/// The near replica of a shard can't be reached and is left alone. A host that is asked declines the shard
-/// at once, which costs nothing, and whoever asked goes to the other replica.
+/// The local replica of a shard can't be reached and is backed off. A branch host declines the
+/// shard at once, which costs nothing, and the host that asked uses the other replica.
 #[test]
 fn a_branch_host_uses_no_server_that_is_backed_off() {
     let (mut core, _) = pairs(3, 1.0);
@@ -300,7 +302,7 @@
     assert_eq!(states[1], State::Declined);
 }
 
-/// The same, found out with the search's own send.
+/// The same, but detected with the search's own send.
 #[test]
 fn a_branch_host_declines_what_it_could_not_reach() {
     let (mut core, _) = pairs(3, 1.0);
@@ -322,8 +324,9 @@
     assert_eq!(states[1], State::Declined);
 }
 
-/// A host that is asked declines one shard at once, since its server is gone, and works on the others.
-/// Only that one is asked for elsewhere; taken for late, all the others would be sent twice.
+/// A branch host declines one shard at once, since its server is gone, and works on the others.
+/// Only that one is requested elsewhere; if the others counted as late, all of them would be sent
+/// twice.
 #[test]
 fn an_early_update_makes_no_shard_late() {
     let (mut core, plan) = remote_search();
@@ -340,8 +343,9 @@
     assert!(!again[0].repeat, "nothing had been sent for it");
 }
 
-/// The server near the host that is asked is slow for good, and that host knows. Sent there, each
-/// request would have to be repeated by the asking host, and the budget would soon be gone.
+/// The local server of a branch host is permanently slow, and the host knows it. If the request
+/// went there, the asking host would have to repeat each one, and the budget would soon be
+/// exhausted.
 #[test]
 fn a_branch_host_declines_a_slow_server() {
     let (mut core, route) = pairs(1, 1.0);
@@ -364,8 +368,8 @@
     panic!("sent to a slow server again and again");
 }
 
-/// A failure domain is taken out of service. Shards that have no replica here are asked for through a host
-/// of another one; the host in the domain that is out would only decline.
+/// A failure domain is evacuated. Shards without a local replica go through a host of another
+/// domain; a host of the evacuated one would only decline.
 #[test]
 fn hosts_of_an_evacuated_domain_are_not_asked() {
     let servers = remote_pairs(5);
--- a/crates/lentillift-scatter/tests/beliefs.rs
+++ b/crates/lentillift-scatter/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! What is believed of the published state when news is late, doubled, missing or wrong.
+//! The known state when updates are late, duplicated, missing or wrong.
 
 mod common;
 
@@ -23,17 +23,17 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Grace of news that came at noon, after the service had been away.
+/// Grace periods of an update that came at [`START`], after the service had been unavailable.
 const GRACE: Grace = Grace {
     leaving: START.saturating_add(Duration::from_secs(1)),
     lapsed: START.saturating_add(OUTAGE_GRACE),
 };
 
-/// Time after which nothing may reach a backend server that leaves.
+/// Time after which nothing may reach a leaving backend server.
 const BOUND: Duration = Duration::from_secs(3);
 
-/// Items of these tests: `c` is a configuration whose bytes are its version, `b-ID` a backend server
-/// whose bytes are its start and stage, `e-DOMAIN` an evacuation.
+/// Decodes the items of these tests: `c` is a configuration whose bytes are its version, `b-ID` a
+/// backend server whose bytes are its process start and stage, `e-DOMAIN` an evacuation.
 fn decode(item: &Item) -> Decoded {
     let value = item.value.clone().unwrap_or_default();
     match item.key.split_once('-') {
@@ -84,7 +84,7 @@
     Update::Changes { revision, items }
 }
 
-/// A catalog that was told this at noon.
+/// A catalog that applied these updates at [`START`].
 fn applied(updates: Vec<Update>) -> Catalog {
     let mut catalog = Catalog::default();
     for update in updates {
@@ -93,7 +93,7 @@
     catalog
 }
 
-/// Backend servers that may be used, and whether only where nothing else is left.
+/// The usable backend servers, and whether each is a last resort.
 fn servers(catalog: &Catalog) -> Vec<(String, bool)> {
     let view = catalog.view().expect("a configuration is known");
     let servers = view.servers.get("s").into_iter().flatten();
@@ -123,8 +123,8 @@
     assert_eq!(servers(&catalog), [ready("x")]);
 }
 
-/// A host that lags passes an older configuration on. Requests would go back to a service that was
-/// given up, after callers had seen the new one.
+/// A host that lags forwards an older configuration. Requests would go back to a service that was
+/// retired, after callers had seen the new one.
 #[test]
 fn a_configuration_never_goes_back() {
     let catalog = applied(vec![
@@ -135,7 +135,7 @@
     assert_eq!(catalog.version(), Some(4));
 }
 
-/// The published configuration is damaged. The last good one stays in force.
+/// The published configuration is malformed. The last valid one stays in force.
 #[test]
 fn a_malformed_configuration_changes_nothing() {
     let catalog = applied(vec![
@@ -145,7 +145,8 @@
     assert_eq!(catalog.version(), Some(4));
 }
 
-/// Somebody else writes rubbish under a backend server's key. It names no server; the others hold.
+/// Another writer puts malformed bytes under a backend server's key. It adds no server; the others
+/// stay.
 #[test]
 fn a_malformed_entry_adds_no_server() {
     let items = vec![
@@ -156,8 +157,8 @@
     assert_eq!(servers(&applied(vec![all(3, items)])), [ready("y")]);
 }
 
-/// A backend server starts anew under its old name, and the last words of its former process arrive
-/// after the first of the new one. Taken at their word, the new process would count as leaving.
+/// A backend server restarts under the same name, and the last entries of its former process arrive
+/// after the first of the new one. If they were applied, the new process would count as leaving.
 #[test]
 fn entries_of_a_former_process_are_ignored() {
     let catalog = applied(vec![
@@ -167,8 +168,8 @@
     assert_eq!(servers(&catalog), [ready("x")]);
 }
 
-/// The service was away, and entries lapsed that nobody could renew. Were all dropped at once, no
-/// request could be served until the backend servers have registered again.
+/// The service was unavailable, and entries lapsed that nobody could renew. If all were dropped at
+/// once, no request could be served until the backend servers have registered again.
 #[test]
 fn lapsed_entries_are_a_last_resort_for_a_while() {
     let mut catalog = applied(vec![
@@ -188,7 +189,7 @@
     assert_eq!(servers(&catalog), [ready("y")]);
 }
 
-/// A lapsed entry comes back. Its backend server is as good as any.
+/// A lapsed entry comes back. Its backend server is no longer a last resort.
 #[test]
 fn a_lapsed_entry_that_returns_is_ready() {
     let catalog = applied(vec![
@@ -199,8 +200,8 @@
     assert_eq!(servers(&catalog), [ready("x")]);
 }
 
-/// A backend server reports that it leaves, and then its entry goes. The second must not make it
-/// usable for longer than the first allowed.
+/// A backend server reports that it is leaving, and then its entry is removed. The removal must not
+/// keep it usable for longer than the first notice allowed.
 #[test]
 fn a_leaving_server_is_not_kept_longer_by_its_removal() {
     let mut catalog = applied(vec![
@@ -214,7 +215,7 @@
     assert!(catalog.expire(START + OUTAGE_GRACE));
 }
 
-/// Operators take a failure domain out and bring it back.
+/// Operators evacuate a failure domain and bring it back.
 #[test]
 fn an_evacuation_holds_until_it_is_revoked() {
     let mut catalog = applied(vec![all(3, vec![put("c", 1, &[1]), put("e-a", 2, &[])])]);
@@ -231,8 +232,8 @@
     assert!(view.evacuated.is_empty());
 }
 
-/// A follower that missed nothing but the last changes gets just these, each key once; one that was away
-/// for longer than removals are kept gets everything.
+/// A follower that lacks only the last changes gets just these, each key once; one that was
+/// disconnected for longer than removals are kept gets everything.
 #[test]
 fn followers_get_what_they_lack() {
     let mut catalog = applied(vec![all(3, vec![put("c", 1, &[1])])]);
@@ -267,9 +268,10 @@
     ));
 }
 
-/// The service forgets its history for some seconds, and the reader reads everything each time. A follower
-/// that knew what was there before is told what changed, not everything: that would take the links of
-/// a large fleet for seconds, and callers would be served by an old configuration meanwhile.
+/// The service loses its history for some seconds, and the reader reads everything each time. A
+/// follower that knows the previous state is sent the changes, not everything: that would occupy
+/// the links of a large fleet for seconds, and callers would be served under an old configuration
+/// meanwhile.
 #[test]
 fn after_a_full_read_followers_get_what_changed() {
     let (x, y) = (put("b-x", 2, &[1, 0]), put("b-y", 3, &[1, 0]));
@@ -286,7 +288,7 @@
     assert_eq!(follower.view(), catalog.view());
 }
 
-/// One published history.
+/// A published history.
 fn history() -> impl Strategy<Value = Vec<Item>> {
     let item = (0usize..4, any::<bool>(), 1u8..5);
     prop::collection::vec(item, 1..30).prop_map(|items| {
@@ -303,8 +305,8 @@
 }
 
 proptest! {
-    /// A follower lags, and is told what it misses at any moments. It believes the same as whoever heard
-    /// each change.
+    /// A follower lags and gets what it lacks at arbitrary times. It ends with the same state as a
+    /// host that applied each change.
     #[test]
     fn a_lagging_follower_reaches_the_same_state(
         history in history(),
@@ -332,8 +334,8 @@
         prop_assert_eq!(usable(&follower), usable(&origin));
     }
 
-    /// News comes over several hosts: in parts, twice, and older after newer. Whoever has heard all of
-    /// it believes the same as one who heard it once and in order.
+    /// Updates arrive through several hosts: in parts, twice, and older after newer. The state is
+    /// the same as when each is applied once and in order.
     #[test]
     fn duplicate_and_late_updates_change_nothing(
         history in history(),
@@ -350,7 +352,8 @@
     }
 }
 
-/// Grace of news that comes at `now` to a host that last knew `before` that it had everything.
+/// Grace periods of an update that comes at `now` to a host whose state was last confirmed at
+/// `confirmed_at`.
 fn grace(now: Time, confirmed_at: Option<Time>) -> Grace {
     let last_known = LastKnown {
         confirmed_at,
@@ -359,8 +362,9 @@
     Grace::within(BOUND, now, last_known)
 }
 
-/// An entry goes while the service is well: its server left without a word and serves on for the drain
-/// alone. Kept for as long as after an outage, it would get requests after that.
+/// An entry is removed while the service is available: its server left without notice and serves
+/// only for its drain time. If it were kept for as long as after an outage, it would get requests
+/// after that.
 #[test]
 fn without_an_outage_a_removed_entry_is_kept_within_the_bound() {
     for late in [Duration::ZERO, BOUND / 3, BOUND * 2 / 3, BOUND, BOUND * 3] {
@@ -378,15 +382,15 @@
     );
 }
 
-/// A process that has just started reads that a server leaves, and can't know for how long already.
+/// A process that has just started reads that a server is leaving, and can't know since when.
 #[test]
 fn a_server_that_was_leaving_before_anything_was_known_is_not_used() {
     assert_eq!(grace(START, None).leaving, START);
 }
 
-/// A backend server that leaves goes on publishing how long it stays cold, each second. Were each account
-/// a reason to ask it for a while longer, it would get requests until its process is gone, and a search
-/// would lose its part.
+/// A leaving backend server keeps publishing how long it stays cold, each second. If each entry
+/// extended the time in which it may be used, it would get requests until its process is gone, and
+/// a search would lose its part.
 #[test]
 fn repeated_leaving_entries_do_not_extend_the_grace() {
     let mut catalog = applied(vec![all(
@@ -404,9 +408,9 @@
 }
 
 proptest! {
-    /// A backend server reports that it leaves, says it again, lapses and comes back, all in any order,
-    /// and the news reaches a host late and in pieces. Whatever the host is told and when, it never asks
-    /// the server later than the bound allows after its first word.
+    /// A backend server reports that it is leaving, reports it again, lapses and comes back, in any
+    /// order, and the updates reach a host late and in pieces. Whatever the host receives and when,
+    /// it never uses the server later than the bound allows after its first notice.
     #[test]
     fn a_leaving_server_is_not_used_after_the_bound(
         history in prop::collection::vec((0u64..900, 0u8..3), 1..12),
@@ -444,10 +448,11 @@
     }
 }
 
-/// The configuration is replaced twice while a follower is busy taking in what came before. Told each
-/// version whole, it spends the link on one that nobody will be served by, and the last one comes into
-/// force twice as late. Changes were kept as a list and passed on as such; the metric of bytes told showed
-/// two versions in each message. Now what is held names its revision, and the list is gone.
+/// The configuration is replaced twice while a follower is busy applying earlier updates. If it is
+/// sent each version in full, the link is occupied by one that is already superseded, and the last
+/// one comes into force twice as late. This happened when changes were kept and forwarded as a
+/// list: the metric of bytes sent showed two versions in each message. Now each held item has its
+/// revision, and there is no list.
 #[test]
 fn a_follower_is_sent_only_the_last_version() {
     let mut catalog = applied(vec![
--- a/crates/lentillift-scatter/tests/budgets.rs
+++ b/crates/lentillift-scatter/tests/budgets.rs
@@ -16,19 +16,19 @@
     window: Duration::from_secs(10),
 };
 
-/// So many hosts that this one has nothing of the fixed number.
+/// So many hosts that this one's share of the fixed number is zero.
 const MANY: u32 = 1_000_000;
 
 fn share(hosts: u32, started: Time) -> Share {
     Share::new(Place { hosts, rank: 0 }, started)
 }
 
-/// Pays for a repeated send to the one service of these tests.
+/// Takes a repeated send from the budget of the one service of these tests.
 fn spend(ledger: &mut Ledger, share: &Share, now: Time, purpose: Purpose) -> bool {
     ledger.spend(&OPTIONS, share, &"s".into(), now, purpose)
 }
 
-/// One thing that happens at one host.
+/// An event at one host.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Request,
@@ -44,7 +44,7 @@
     ]
 }
 
-/// Whether some span of a window's length holds more repeated sends than allowed.
+/// Returns the first window that holds more repeated sends than allowed: its end, and both numbers.
 fn first_violation(requests: &[Time], repeats: &[Time]) -> Option<(Time, usize, f64)> {
     for end in repeats {
         let within = |times: &[Time], from: Time| {
@@ -66,9 +66,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Nine hosts have requests, hedge as much as they may, and some start anew with no memory at any
-    /// moment, over and over. Were each to take itself for fresh, their repeated sends together would
-    /// go beyond the bound, and the service would get a fifth more load just when it is slow.
+    /// Nine hosts have requests, hedge as much as they may, and some restart without memory at any
+    /// time, repeatedly. If each assumed that it had spent nothing, their repeated sends together
+    /// would exceed the bound, and the service would get a fifth more load just when it is slow.
     #[test]
     fn hosts_together_keep_the_bound(
         steps in prop::collection::vec((0usize..9, 0u64..120, step()), 1..600),
@@ -104,8 +104,8 @@
     }
 }
 
-/// Fifty-nine hosts share a hundred and fifty-eight repeats. Rounded down at each host, forty of them
-/// would be nobody's, and late parts would be left out though the backend servers bear more.
+/// Fifty-nine hosts share 158 repeats. Rounded down at each host, forty of them would belong to no
+/// host, and late parts would be left out though the backend servers can take more.
 #[test]
 fn nothing_of_the_fixed_number_is_lost_by_rounding() {
     for turn in [0, 1, 58, 7_000_000_007] {
@@ -119,9 +119,9 @@
 }
 
 proptest! {
-    /// Hosts leave, and each of the others hears of it some seconds later than another. Each spends all that
-    /// it may, whenever it may. One that counted on its new part at once would spend what another, by
-    /// its old one, has spent already.
+    /// Hosts leave, and the other hosts learn of it at times that differ by seconds. Each spends
+    /// all that it may, as soon as it may. A host that used its new share at once would spend what
+    /// another, under its old share, has already spent.
     #[test]
     fn hosts_that_learn_of_a_change_late_keep_the_bound(
         delays in prop::collection::vec(0u64..9000, 12),
@@ -141,7 +141,7 @@
                 if now >= left && host < leavers as usize {
                     continue;
                 }
-                // The roster counts a host that ended for one window more.
+                // The roster counts a host that ended for one more window.
                 if now >= left + OPTIONS.window + Duration::from_millis(delays[host]) {
                     let rank = host as u32 - leavers;
                     shares[host].update(place(before - leavers, rank), now, OPTIONS.window);
@@ -155,8 +155,8 @@
     }
 }
 
-/// A host says that it ends. What it spent just before still counts for the others, so they do not
-/// take its part for a window.
+/// A host announces its end. What it spent just before still counts, so the others do not take over
+/// its share for one window.
 #[test]
 fn a_host_that_ended_counts_for_a_window() {
     let mut roster = Roster::default();
@@ -176,8 +176,8 @@
     );
 }
 
-/// A process starts anew in the middle of an outage. Its former self may just have spent its part of
-/// the fixed number; only what its own requests earn is left to it.
+/// A process restarts in the middle of an outage. Its former process may just have spent its share
+/// of the fixed number, so it may spend only what its own requests earn.
 #[test]
 fn a_new_process_spends_only_what_it_earned() {
     let mut ledger = Ledger::default();
@@ -191,8 +191,8 @@
     assert!(!spend(&mut ledger, &share, now, Purpose::Answer));
 }
 
-/// A burst ends and its servers are still slow. Repeats are still earned by the burst's requests for
-/// one window, and no longer.
+/// A burst ends and its servers are still slow. The burst's requests earn repeats for one window,
+/// and no longer.
 #[test]
 fn earned_repeats_expire() {
     let mut ledger = Ledger::default();
@@ -207,7 +207,7 @@
     assert!(!spend(&mut ledger, &share, later(11), Purpose::Answer));
 }
 
-/// A repeated send finds the port closed. Nothing reached the server, so it costs nothing.
+/// A repeated send finds the port closed. Nothing reached the server, so it is refunded.
 #[test]
 fn an_unsent_repeat_is_refunded() {
     let mut ledger = Ledger::default();
@@ -219,8 +219,8 @@
     assert!(spend(&mut ledger, &share, now, Purpose::Answer));
 }
 
-/// The budget runs low. What is left goes to searches that would fail without it, not to those that
-/// would only be more complete.
+/// The budget runs low. The rest is reserved for searches that would fail without it, rather than
+/// those that would only be more complete.
 #[test]
 fn half_of_the_budget_is_reserved_for_answers() {
     let mut ledger = Ledger::default();
@@ -235,7 +235,7 @@
     assert_eq!(answers.count(), 5);
 }
 
-/// Operators watch what is left: it shrinks with each repeat, to nothing and not below.
+/// Operators monitor what is left: it shrinks with each repeat, to zero and not below.
 #[test]
 fn the_rest_shrinks_to_zero() {
     let mut ledger = Ledger::default();
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -1,4 +1,4 @@
-//! Hosts under a search that ends servers and others that are merely there, in virtual time.
+//! Hosts that serve a search which ends servers together with harmless ones, in virtual time.
 
 mod common;
 
@@ -39,13 +39,14 @@
 const LENGTH: Duration = Duration::from_secs(12);
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time until a server that ended is back.
+/// Time until a server that ended is up again.
 const RESTART_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between two attempts of the search that ends servers.
+/// Time between two attempts of the search that ends servers.
 const FATAL_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time within which all hosts should know, and attempts that may reach servers afterwards.
+/// Time within which all hosts should know, and the number of attempts that may reach servers after
+/// it.
 const BOUND: Duration = Duration::from_secs(4);
 const MAX_LATE_ATTEMPTS: usize = 3;
 
@@ -60,13 +61,13 @@
         host: usize,
         path: String,
     },
-    /// A server has a reply for an attempt.
+    /// A server has finished its reply to a send.
     Reply {
         attempt: Attempt,
         send_id: SendId,
         server: String,
     },
-    /// A send comes to its end.
+    /// A send ends.
     Outcome {
         attempt: Attempt,
         send_id: SendId,
@@ -88,10 +89,10 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    /// Rises with each end.
+    /// Incremented each time the server ends.
     process: u64,
     up_at: Time,
-    /// Sends that it has.
+    /// Sends in progress.
     in_progress: Vec<(Attempt, SendId)>,
 }
 
@@ -102,14 +103,14 @@
     route: Arc<Route>,
     servers: HashMap<String, Server>,
     queries: HashMap<Attempt, (usize, String, Query)>,
-    /// When each attempt is looked at next.
+    /// When each attempt is checked next.
     ticks: HashMap<Attempt, Time>,
     events: BTreeMap<(Time, u64), Event>,
     next: u64,
     ends: Vec<Time>,
-    /// When attempts of the search that ends servers reached one.
+    /// Last time at which each attempt of the search that ends servers reached one.
     reached: BTreeMap<Attempt, Time>,
-    /// Others that were refused for what is held of them.
+    /// Harmless searches that were refused by the quarantine.
     refused: Vec<String>,
     answered: usize,
 }
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Looks at what an attempt wants next.
+    /// Checks what an attempt does next.
     fn check(&mut self, attempt: Attempt) {
         let (_, path, query) = &self.queries[&attempt];
         match query.next(self.now) {
@@ -356,9 +357,9 @@
     }
 }
 
-/// Everybody searches for the same name while another search ends servers again and again. Each time some are
-/// in flight at servers that end; held for what ends them, the search that most callers want would be
-/// refused for minutes.
+/// Most callers send the same search while another search ends servers again and again. Each time,
+/// some of the popular searches are in flight at servers that end. If it were blamed for this, the
+/// search that most callers want would be refused for minutes.
 #[test]
 fn a_popular_search_is_served_beside_one_that_ends_servers() {
     for seed in 0..40 {
--- a/crates/lentillift-scatter/tests/callers.rs
+++ b/crates/lentillift-scatter/tests/callers.rs
@@ -14,7 +14,7 @@
 use lentillift_scatter::core::Core;
 use std::time::Duration;
 
-/// Time that a caller says it waits if it has spent nothing.
+/// Waiting time that a caller announces if it has spent none of it.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn host() -> Core {
@@ -22,7 +22,8 @@
     core(view(route, vec![server("b", "s0", "a")]))
 }
 
-/// When an answer to a request on this connection leaves at the latest, after its arrival.
+/// Returns when an incomplete answer to a request on this connection is sent, relative to its
+/// arrival.
 fn latest_answer(core: &mut Core, caller: &mut Caller, spent: Duration) -> Duration {
     let view = core.view.clone().expect("a view");
     let route = view.config.routes().next().expect("a route");
@@ -36,8 +37,8 @@
     plan.soft_deadline - START
 }
 
-/// A caller is six milliseconds away, and most others of its host are close by. Its answers are held until
-/// the last moment for a close one, and reach it a few milliseconds after the objective, each time.
+/// A caller is six milliseconds away, and most others of its host are close. If its answers are
+/// timed for a close one, each reaches it a few milliseconds after the objective.
 #[test]
 fn answers_leave_in_time_for_near_and_far_callers_of_one_host() {
     let mut core = host();
@@ -54,8 +55,9 @@
     assert!(far <= MS * (100 - 13), "{far:?}");
 }
 
-/// A caller's first request took up most of its time at another host and was refused. It is not half an
-/// objective away; taken for that, its answers would lack parts for as long as the connection lasts.
+/// A caller's first request spent most of its time at another host and was refused. The caller is
+/// not half an objective away; if it were considered so, its answers would lack parts for the life
+/// of the connection.
 #[test]
 fn a_caller_that_retries_is_not_considered_remote() {
     let mut core = host();
@@ -69,7 +71,7 @@
     );
 }
 
-/// Callers that never opened a connection to be measured are served by what others of this host told.
+/// Callers without a measurement are served with the round trip measured for others of this host.
 #[test]
 fn the_measured_round_trip_is_assumed_for_other_callers() {
     let mut core = host();
--- a/crates/lentillift-scatter/tests/common/mod.rs
+++ b/crates/lentillift-scatter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small published state, for the tests of decisions.
+//! A small published state and other fixtures.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -33,7 +33,7 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 
-/// A time long after the start, when shares are settled.
+/// Start time of the tests, long after the process start, so that shares are settled.
 pub const START: Time = Duration::from_secs(1000);
 
 pub const LIMITS: Limits = Limits {
@@ -143,12 +143,13 @@
     core
 }
 
-/// The content of a request for `path`.
+/// The fingerprint of a request for `path`.
 pub fn fingerprint(path: &str) -> Fingerprint {
     Fingerprint::of("GET", "search.example", path, &[])
 }
 
-/// A plan for a request that arrives at noon on a connection of `caller`, by the latest picture.
+/// A plan for a request that arrives at [`START`] on a connection of `caller`, under the latest
+/// view.
 pub fn plan(
     core: &mut Core,
     caller: &mut Caller,
--- a/crates/lentillift-scatter/tests/common/simulation.rs
+++ b/crates/lentillift-scatter/tests/common/simulation.rs
@@ -1,4 +1,4 @@
-//! One request, played over modelled backend servers.
+//! Simulates one request over modelled backend servers.
 
 use super::MS;
 use super::START;
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How a backend server treats a request.
+/// How a backend server handles a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Behavior {
     Replies(Duration),
@@ -37,18 +37,18 @@
     Hangs,
 }
 
-/// How a request went.
+/// The course of a simulated request.
 #[derive(Debug)]
 pub struct Run {
     pub next: Next,
     pub took: Duration,
     /// Backend servers that were sent to, in order.
     pub sent: Vec<String>,
-    /// Times each was sent to at, after the arrival.
+    /// Time of each send, relative to the arrival.
     pub at: Vec<Duration>,
 }
 
-/// Plays one request.
+/// Simulates one request.
 pub fn simulate<W>(core: &mut Core, route: Route, timeout: Duration, behavior: W) -> Run
 where
     W: Fn(&str) -> Behavior,
@@ -128,7 +128,7 @@
     (core(view(route.clone(), servers)), route)
 }
 
-/// Two replicas of each shard, in failure domains `b` and `c`; none near this host.
+/// Two replicas of each shard, in failure domains `b` and `c`; none is local.
 pub fn remote_pairs(shards: usize) -> Vec<Arc<Server>> {
     let replicas = |shard| {
         ["b", "c"].map(|domain| server(&format!("{domain}{shard}"), &format!("s{shard}"), domain))
@@ -136,17 +136,17 @@
     (0..shards).flat_map(replicas).collect()
 }
 
-/// The services of so many shards.
+/// The services of this many shards.
 pub fn service_names(shards: usize) -> Vec<Service> {
     (0..shards).map(|n| format!("s{n}").into()).collect()
 }
 
-/// A search for five shards that have no replica near this host, which knows a host `h` in domain `b`.
+/// A search for five shards without a local replica, on a host that knows a host `h` in domain `b`.
 pub fn remote_search() -> (Core, Plan) {
     search_with(remote_pairs(5))
 }
 
-/// A search for five shards with these servers by a host that knows a host `h` in domain `b`.
+/// A search for five shards with these servers, on a host that knows a host `h` in domain `b`.
 pub fn search_with(servers: Vec<Arc<Server>>) -> (Core, Plan) {
     let route = route(scatter(5, 1.0), Kind::Idempotent);
     let mut core = core(view(route.clone(), servers));
--- a/crates/lentillift-scatter/tests/delays.rs
+++ b/crates/lentillift-scatter/tests/delays.rs
@@ -1,4 +1,4 @@
-//! Questions between hosts that are held up on their way.
+//! Requests between hosts that are delayed on their way.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Time that a question takes if nothing holds it up.
+/// Transit time of a request without any delay.
 const TRANSIT: Duration = Duration::from_millis(2);
 
-/// A host that asks, whose clock began at `epoch` by the clock of the one that is asked.
+/// A sending host whose clock has its zero at `epoch` of the receiver's clock.
 #[derive(Debug, Clone, Copy)]
 struct Sender {
     incarnation: u64,
@@ -26,7 +26,8 @@
 };
 
 impl Sender {
-    /// Asks at a time by the clock of the one that is asked; says what delay that one finds.
+    /// Sends a request at a time of the receiver's clock; returns the delay that the receiver
+    /// computes.
     fn send(self, delays: &mut Delays, at: Time, added: Duration) -> Duration {
         let stamp = Stamp {
             host: "asker".into(),
@@ -41,9 +42,10 @@
     Duration::from_secs(seconds)
 }
 
-/// A caller leaves 49 ms after it asked, while the link to another host is full for half a second. The
-/// question comes half a second late and the word that nobody wants it later still; 48 sends reached
-/// backend servers for a caller that was gone. What was asked by which clock tells the delay.
+/// A caller leaves 49 ms after its request, while the link to another host is saturated for half a
+/// second. The branch request comes half a second late and its cancellation later still; 48 sends
+/// reached backend servers for a caller that was gone. The send time by the sender's clock reveals
+/// the delay.
 #[test]
 fn a_delayed_request_is_detected() {
     let mut delays = Delays::default();
@@ -70,8 +72,8 @@
     );
 }
 
-/// The host that asks starts again, and its clock begins anew. Taken for a delay, the difference would have
-/// all its questions declined.
+/// The sending host restarts, and its clock begins at zero again. If the difference counted as a
+/// delay, all its requests would be declined.
 #[test]
 fn a_restarted_process_is_not_late() {
     let mut delays = Delays::default();
@@ -86,8 +88,8 @@
     );
 }
 
-/// A machine was suspended for four seconds, and its clock stood still. Its questions seem to be late by
-/// that, all alike; only the first one is taken for it.
+/// A machine was suspended for four seconds, and its clock stopped. All its requests appear late by
+/// the same amount; only the first one counts as delayed.
 #[test]
 fn a_stopped_sender_clock_delays_one_request() {
     let mut delays = Delays::default();
@@ -105,7 +107,7 @@
     }
 }
 
-/// The clock of the host that is asked stood still: questions seem to come before they were asked.
+/// The receiver's clock stopped: requests appear to arrive before they were sent.
 #[test]
 fn a_stopped_receiver_clock_delays_nothing() {
     let mut delays = Delays::default();
@@ -120,7 +122,7 @@
 }
 
 proptest! {
-    /// Whatever holds questions up, none is found to have been held up for longer than it was.
+    /// Whatever delays requests, the computed delay never exceeds the real one.
     #[test]
     fn no_delay_is_overestimated(
         requests in prop::collection::vec((1u64..5000, 0u64..2000), 1..60),
--- a/crates/lentillift-scatter/tests/limits.rs
+++ b/crates/lentillift-scatter/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How much one host sends to one backend server: connections, and the rate of cold ones.
+//! How much one host sends to one backend server: connections, and the rate while it is cold.
 
 mod common;
 
@@ -29,16 +29,16 @@
 max_in_flight! {
     share_of_the_connections: 9, 26, 5, LATER => 3;
     at_most_one_more_than_the_slots: 2, 26, 2, LATER => 3;
-    /// With more hosts than connections, two each are too many if all use them at once; a shared search
-    /// asks a server through one host of its failure domain, so that few do.
+    /// With more hosts than connections, two each are too many if all use them at once; a divided
+    /// search asks a server through one host of its failure domain, so that few hosts do.
     more_hosts_than_connections: 61, 52, 2, LATER => 2;
-    /// All hosts start anew at once and each knows only itself. Were each to take most of a backend
+    /// All hosts restart at once and each knows only itself. If each used most of a backend
     /// server's connections, nearly all would be reset, and searches would fail for seconds.
     a_process_that_starts_takes_one: 1, 26, 2, Duration::from_secs(1) => 1;
 }
 
-/// A failure domain returns and its servers are cold. Together the hosts send no more than they bear,
-/// also where that is less than one request a second for each host.
+/// A failure domain returns and its servers are cold. Together the hosts send no more than the
+/// servers can take, even where that is less than one request a second for each host.
 #[test]
 fn cold_servers_get_their_rate() {
     let cold = Cold {
--- a/crates/lentillift-scatter/tests/queries.rs
+++ b/crates/lentillift-scatter/tests/queries.rs
@@ -27,8 +27,8 @@
     assert!(run.sent.iter().all(|id| id.starts_with('a')));
 }
 
-/// One backend server pauses for a moment, as each does every few seconds. Without a hedge the whole
-/// search would take as long as the pause.
+/// One backend server pauses for a moment, as each does every few seconds. Without a hedge the
+/// whole search would take as long as the pause.
 #[test]
 fn a_paused_server_is_hedged() {
     let (mut core, route) = pairs(20, 1.0);
@@ -41,8 +41,8 @@
     assert_eq!(run.sent.len(), 21);
 }
 
-/// Both replicas of one shard are silent. Callers that accept an answer without it get one in time;
-/// it says that a shard is missing.
+/// Both replicas of one shard are silent. Callers that accept an answer without it get one in time,
+/// which says that a shard is missing.
 #[test]
 fn a_lost_shard_is_left_out_in_time() {
     let (mut core, route) = pairs(20, 0.9);
@@ -57,7 +57,8 @@
     assert!(run.took < MS * 100, "{run:?}");
 }
 
-/// The same, but the caller wants every shard. There is no answer, and none is made up.
+/// The same, but the caller requires every shard. There is no answer, and no incomplete one is
+/// sent.
 #[test]
 fn a_required_shard_is_not_left_out() {
     let (mut core, route) = pairs(20, 1.0);
@@ -68,8 +69,8 @@
     assert!(matches!(run.next, Next::Timeout | Next::Fail), "{run:?}");
 }
 
-/// Too many shards have no backend server at all. Asking the others would be work for nothing, and
-/// the caller is better told at once.
+/// Too many shards have no backend server at all. Requests for the others would be wasted, and the
+/// caller is refused at once.
 #[test]
 fn a_hopeless_search_is_refused_unsent() {
     let (mut core, _) = pairs(10, 0.9);
@@ -84,7 +85,7 @@
     assert!(run.sent.is_empty());
 }
 
-/// A failure domain was taken out of service while a request waited. Nothing more may go there.
+/// A failure domain was evacuated while a request waited. No further send may go there.
 #[test]
 fn an_evacuated_domain_gets_no_hedge() {
     let (mut core, route) = pairs(1, 1.0);
@@ -113,38 +114,38 @@
 
 single! {
     one_reply: Idempotent, [Behavior::Replies(MS)] => Next::Answer { .. }, 1;
-    /// A backend server fails a request that may be repeated; another serves it.
+    /// A backend server fails an idempotent request; another serves it.
     a_failure_is_retried: Idempotent, [Behavior::Fails(MS), Behavior::Replies(MS)]
         => Next::Answer { .. }, 2;
-    /// The connection breaks; what may be repeated is.
+    /// The connection breaks; an idempotent request is retried.
     a_broken_reply_is_retried: Idempotent, [Behavior::Breaks(MS), Behavior::Replies(MS)]
         => Next::Answer { .. }, 2;
-    /// Two servers fail. The caller gets a server's own failure, not one of ours.
+    /// Two servers fail. The caller gets the server's own failure, not one generated here.
     the_servers_failure_is_passed_on: Idempotent, [Behavior::Fails(MS), Behavior::Fails(MS), Behavior::Replies(MS)]
         => Next::Pass(_), 2;
-    /// An action's reply is lost. It may have run, so it is not sent again, and the caller is not told
-    /// that it did not run.
+    /// An action's reply is lost. It may have run, so it is not sent again, and the caller is not
+    /// told that it did not run.
     an_action_is_never_repeated: Once, [Behavior::Breaks(MS), Behavior::Replies(MS)]
         => Next::Fail, 1;
-    /// An action's server answers nothing until the time is over.
+    /// An action's server does not reply before the deadline.
     a_silent_action_times_out: Once, [Behavior::Hangs, Behavior::Replies(MS)]
         => Next::Timeout | Next::Fail, 1;
-    /// An action's server says that it failed. That is the caller's answer.
+    /// An action's server reports a failure. That is the caller's answer.
     a_failed_action_is_passed_on: Once, [Behavior::Fails(MS), Behavior::Replies(MS)]
         => Next::Pass(_), 1;
-    /// A full server turns an action away; it did not run, so another may have it.
+    /// A full server rejects an action; it did not run, so it may be sent to another.
     a_rejected_action_is_sent_elsewhere: Once, [Behavior::Rejects(MS), Behavior::Replies(MS)]
         => Next::Answer { .. }, 2;
-    /// Nobody listens at the address; nothing was sent.
+    /// Nothing listens at the address; nothing was sent.
     an_unreachable_server_is_skipped: Once, [Behavior::Refuses, Behavior::Replies(MS)]
         => Next::Answer { .. }, 2;
-    /// Every server turns it away, again and again. It is refused, truly, long before the time is over.
+    /// Every server rejects it repeatedly. It is refused, correctly, long before its deadline.
     rejected_everywhere: Once, [Behavior::Rejects(MS), Behavior::Rejects(MS)] => Next::Refuse(_), 3;
     /// No server can be reached. It is refused at once.
     unreachable_everywhere: Idempotent, [Behavior::Refuses, Behavior::Refuses] => Next::Refuse(_), 2;
 }
 
-/// A request waits for a slow server though half of its time is gone. The second one is asked early
+/// A request waits for a slow server and would use up half of its time. The hedge is sent early
 /// enough to answer within the objective.
 #[test]
 fn a_hedge_leaves_time_for_its_reply() {
@@ -170,9 +171,9 @@
 }
 
 proptest! {
-    /// Servers reply, fail, turn away, refuse, break and hang in any mixture. No more of them than
-    /// the route allows run a shard's request, every request ends by its deadline, and an action
-    /// that a server may have run is neither sent again nor called not run.
+    /// Servers reply, fail, reject, refuse connections, break them and hang in any mixture. No more
+    /// of them than the route allows run a shard's request, every request ends by its deadline, and
+    /// an action that a server may have run is neither sent again nor reported as not run.
     #[test]
     fn limits_hold_whatever_servers_do(
         behaviors in prop::collection::vec(behavior(), 6),
@@ -195,7 +196,7 @@
     }
 }
 
-/// Both servers of some shards turn most requests away, and the budget is nearly spent. A search that
+/// Both servers of some shards reject most requests, and the budget is nearly spent. A search that
 /// lacks more shards than its caller accepts gets repeats; one that lacks fewer does not.
 #[test]
 fn a_scarce_budget_saves_answers() {
@@ -212,7 +213,7 @@
         let repeats = run.sent.len() - 20;
         (run.next, repeats)
     };
-    // The window's ratio part is earned by the search itself: 0.2 of one request for each shard.
+    // The search itself earns the part from the ratio: 0.2 of a repeat for each shard.
     let (next, repeats) = lacking(2);
     assert!(matches!(next, Next::Answer { .. }));
     assert_eq!(repeats, 2, "four of eight may make answers more complete");
--- a/crates/lentillift-scatter/tests/records.rs
+++ b/crates/lentillift-scatter/tests/records.rs
@@ -24,14 +24,14 @@
     greatest_first: vec![[filled(1), filled(3)].concat(), filled(2)], 10 => vec![filled(3), filled(2), filled(1)];
     only_as_many_as_wanted: vec![[filled(1), filled(3)].concat(), filled(2)], 2 => vec![filled(3), filled(2)];
     equal_records_all_count: vec![filled(7), filled(7)], 10 => vec![filled(7), filled(7)];
-    /// A server's reply ends in the middle of a record; what is left is not one.
+    /// A server's reply ends in the middle of a record; the remainder is ignored.
     a_remainder_is_no_record: vec![[filled(1), vec![9; 5]].concat()], 10 => vec![filled(1)];
     nothing_of_nothing: vec![], 10 => vec![];
     none_wanted: vec![filled(1)], 0 => vec![];
 }
 
 proptest! {
-    /// Merging some parts first, at another host, changes nothing.
+    /// Merging some parts first, on another host, does not change the result.
     #[test]
     fn in_two_steps_as_in_one(
         parts in prop::collection::vec(prop::collection::vec(0u8..4, 0..100), 0..8),
--- a/crates/lentillift-scatter/tests/replicas.rs
+++ b/crates/lentillift-scatter/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Which replica is asked: pauses, slow servers, failing ones, queues, and ones that come back.
+//! Choice of a replica: paused, slow, failing and queueing servers, and ones that recover.
 
 mod common;
 
@@ -21,7 +21,7 @@
 
 const TYPICAL: Duration = Duration::from_millis(10);
 
-/// One shard with a near replica and a far one.
+/// One shard with a local replica `near` and a remote one `far`.
 fn pair() -> Core {
     let route = route(scatter(1, 1.0), Kind::Idempotent);
     core(view(
@@ -38,7 +38,7 @@
     })
 }
 
-/// Sends once to `id` and notes how it ended.
+/// Makes one send to `id` that ends like this.
 fn send(core: &mut Core, id: &str, sent: Time, ended: Time, observation: Observation) {
     let send_id = core.next_send_id();
     core.replicas.get(&id.into()).sent(send_id, sent);
@@ -54,8 +54,8 @@
     assert_eq!(choice(&mut pair(), START), "near");
 }
 
-/// The near replica stops answering for a moment. A second request shows it after a few ordinary
-/// reply times, long before any timeout; the next ones go elsewhere.
+/// The local replica stops answering for a moment. A request in flight reveals it after a few
+/// typical reply times, long before any timeout; the next requests go elsewhere.
 #[test]
 fn a_pause_is_detected_within_a_few_reply_times() {
     let mut core = pair();
@@ -64,8 +64,8 @@
     assert_eq!(choice(&mut core, START + TYPICAL * 4), "far");
 }
 
-/// The pause ends and its requests are answered late, three at once. The server is as fast as before;
-/// held for slow, its requests would cross into another failure domain for seconds.
+/// The pause ends and its requests are answered late, three at once. The server is as fast as
+/// before; if it counted as slow, its requests would go to another failure domain for seconds.
 #[test]
 fn a_pause_that_is_over_is_forgotten() {
     let mut core = pair();
@@ -78,7 +78,7 @@
     assert_eq!(choice(&mut core, START + MS * 151), "near");
 }
 
-/// The near replica is slow for good. After a few replies requests go to the other one.
+/// The local replica is permanently slow. After a few replies requests go to the other one.
 #[test]
 fn a_slow_server_is_avoided() {
     let mut core = pair();
@@ -90,9 +90,9 @@
     assert_eq!(choice(&mut core, now), "far");
 }
 
-/// The near replica takes nine times as long as usual for some seconds while ten requests a second ask
-/// for its shard. Tried again as soon as a server that is merely slow would be, it makes a part late
-/// every half second, and with fifteen servers like it no search is whole.
+/// The local replica is nine times slower for some seconds while ten requests a second ask for its
+/// shard. If it were retried as often as a moderately slow server, it would make a part late every
+/// half second, and with fifteen such servers no search would be complete.
 #[test]
 fn a_very_slow_server_is_rarely_tried() {
     let mut core = pair();
@@ -107,7 +107,7 @@
     assert!(tried <= 9, "tried {tried} times in eight seconds");
 }
 
-/// The slow replica recovers while nobody asks it. It is tried again within seconds.
+/// The slow replica recovers while no request uses it. It is tried again within seconds.
 #[test]
 fn a_slow_server_is_tried_again() {
     let mut core = pair();
@@ -120,7 +120,7 @@
     assert_eq!(choice(&mut core, now + Duration::from_secs(5)), "near");
 }
 
-/// The near replica fails part of its requests though its health is good.
+/// The local replica fails a part of its requests though its health reports are good.
 #[test]
 fn a_failing_server_is_avoided() {
     let mut core = pair();
@@ -130,7 +130,7 @@
     assert_eq!(choice(&mut core, START + MS * 2), "far");
 }
 
-/// The near replica says in a reply that five requests are ahead. What it said is old soon.
+/// The local replica reports five queued or running requests. The report soon expires.
 #[test]
 fn a_queue_is_avoided_while_it_lasts() {
     let mut core = pair();
@@ -152,8 +152,8 @@
     assert_eq!(choice(&mut core, START + MS * 200), "near");
 }
 
-/// Nobody listens at the near replica's address. It is left alone, for longer each time, and tried
-/// again.
+/// Nothing listens at the local replica's address. It is backed off, for longer each time, and
+/// tried again.
 #[test]
 fn an_unreachable_server_is_backed_off() {
     let mut core = pair();
@@ -170,8 +170,8 @@
     assert_eq!(choice(&mut core, START + MS * 300), "far");
 }
 
-/// Both replicas have more requests under way than this host's part of their connections. One more
-/// would be reset, or take a connection from another host.
+/// Both replicas have as many requests in flight as this host's share of their connections. One
+/// more would be reset, or take a connection from another host.
 #[test]
 fn no_more_requests_than_connections() {
     let mut core = pair();
@@ -187,8 +187,8 @@
     assert_eq!(choice(&mut core, START), "none");
 }
 
-/// Both replicas failed several times and are left alone. One request at a time still finds out
-/// whether one is back; refused for seconds, callers would wait for nothing.
+/// Both replicas failed several times and are backed off. One request at a time still finds out
+/// whether one has recovered; otherwise callers would be refused for seconds without need.
 #[test]
 fn servers_that_are_all_left_alone_are_tried_one_by_one() {
     let mut core = pair();
@@ -204,9 +204,9 @@
     assert_eq!(choice(&mut core, START + MS * 3), "none");
 }
 
-/// A request was to go to a server, and a connection had to be opened first. Meanwhile the server's failure
-/// domain was evacuated, or the server has left for longer than it may be asked. Sent all the same, it
-/// reaches a server that is gone.
+/// A connection had to be opened for a send. Meanwhile the server's failure domain was evacuated,
+/// or the server has been leaving for longer than it may be used. If the send were made anyway, it
+/// would reach a server that is gone.
 #[test]
 fn a_send_that_waited_is_made_only_if_its_server_may_still_be_used() {
     let mut core = pair();
--- a/crates/lentillift-scatter/tests/reports.rs
+++ b/crates/lentillift-scatter/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of slow backend servers.
+//! Reports on slow backend servers between hosts.
 
 mod common;
 
@@ -17,7 +17,7 @@
 
 const TYPICAL: Duration = Duration::from_millis(10);
 
-/// Servers, each of a shard of its own, in this host's failure domain and in another.
+/// Number of shards, each with a server in this host's failure domain and one in another.
 const SERVERS: usize = 10;
 
 fn host() -> Core {
@@ -41,7 +41,7 @@
     choice.expect("a server").server.entry.id.to_string()
 }
 
-/// Replies of the server near this host, one after the other.
+/// Makes `count` sequential sends to the local server of a shard, all with this slowness.
 fn replies(host: &mut Core, shard: usize, from: Time, count: u32, slowness: f64) -> Time {
     let backend = format!("near{shard}").as_str().into();
     let mut now = from;
@@ -60,7 +60,7 @@
     now
 }
 
-/// A host that has met one slow server and nine that are well.
+/// A host that has observed one slow server and nine healthy ones.
 fn observer() -> (Core, Time) {
     let mut host = host();
     for shard in 1..SERVERS {
@@ -70,8 +70,8 @@
     (host, now)
 }
 
-/// A host with a search a second would find out by itself when the server is well again, and each of
-/// its searches would be late by one part in the meantime.
+/// A host with one search a second would detect the slow server on its own only when it has
+/// recovered, and until then each of its searches would have one late part.
 #[test]
 fn a_host_with_a_report_avoids_a_slow_server() {
     let (observer, now) = observer();
@@ -87,7 +87,7 @@
     assert_eq!(choice(&mut other, 1, now + MS), "near1");
 }
 
-/// Three hosts pass the same word around ten times a second. It must not become younger by that: the
+/// Three hosts forward the same report ten times a second. Its age must not be reset by that: the
 /// server would never be tried again.
 #[test]
 fn forwarded_reports_expire() {
@@ -105,8 +105,8 @@
     }
 }
 
-/// A host stands still for some seconds and finds every server slow. Its word would send the whole fleet
-/// to servers in other failure domains.
+/// A host is stopped for some seconds and finds every server slow. Its reports would move the
+/// requests of the whole fleet to servers in other failure domains.
 #[test]
 fn a_host_that_finds_most_servers_slow_reports_none() {
     let mut host = host();
@@ -117,8 +117,8 @@
     assert_eq!(host.replicas.reports(now), []);
 }
 
-/// A host has asked nobody lately, and is told of a slow server. That it knows of nothing else is no
-/// reason to keep it to itself: the next host asks this one, not the one that found out.
+/// A host has no recent observations of its own and receives a report on a slow server. It still
+/// has to forward the report: the next host asks this one, not the one that made the observation.
 #[test]
 fn reports_are_forwarded_by_a_host_without_observations() {
     let (observer, now) = observer();
@@ -132,7 +132,8 @@
     assert_eq!(choice(&mut last, 0, now + MS), "far0");
 }
 
-/// The server has recovered and a host has just seen it. Older word must not outweigh that.
+/// The server has recovered and a host has just observed it. An older report must not override
+/// that.
 #[test]
 fn a_recent_own_observation_overrides_an_older_report() {
     let (observer, reported_at) = observer();
@@ -144,7 +145,7 @@
     assert_eq!(choice(&mut other, 0, observed_at), "near0");
 }
 
-/// A peer names servers that nobody published. They would fill the memory.
+/// A peer reports servers that were never published. They would fill the memory.
 #[test]
 fn unknown_servers_are_not_kept() {
     let (observer, now) = observer();
@@ -155,8 +156,8 @@
     assert_eq!(other.replicas.reports(now), []);
 }
 
-/// A server has fallen silent and is left alone for a while by the host that asks it most. Hosts that ask
-/// it once in four seconds would each lose three requests before they do the same.
+/// A server stops answering and is backed off by the host that uses it most. Hosts that use it once
+/// in four seconds would each lose three requests before they back off too.
 #[test]
 fn a_server_that_is_backed_off_is_reported() {
     let (mut observer, mut now) = observer();
@@ -171,7 +172,7 @@
     let send_id = observer.next_send_id();
     observer.replicas.get(&backend).sent(send_id, now);
     observer.ended(send_id, &backend, Observation::Failed, now, None);
-    // By now the share of failures alone would say that it is well again.
+    // By now the failure rate alone would say that it has recovered.
     now += MS * 1200;
     for shard in 2..SERVERS {
         replies(&mut observer, shard, now - TYPICAL * 2, 2, 1.0);
--- a/crates/lentillift-scatter/tests/routes.rs
+++ b/crates/lentillift-scatter/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which of its services.
+//! Choice of a route, and of one of its services.
 
 mod common;
 
@@ -46,7 +46,7 @@
     unknown_path: "one.example", "/b/" => None;
 }
 
-/// Two services share a route nine to one. Taken by a counter of each host, a host with few requests
+/// Two services share a route nine to one. With a counter on each host, a host with few requests
 /// would send none to the smaller one; by the request's id the shares hold over all hosts.
 #[test]
 fn shares_follow_weights() {
@@ -61,7 +61,7 @@
     assert!((900..1100).contains(&small), "{small} of 10,000");
 }
 
-/// An operator sets every weight to zero for a moment. The route would answer nothing.
+/// An operator sets every weight to zero for a moment. The route would not answer any request.
 #[test]
 fn weights_of_zero_serve_the_first() {
     let part = Part {
--- a/crates/lentillift-scatter/tests/suspects.rs
+++ b/crates/lentillift-scatter/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers end, over modelled servers in virtual time.
+//! Requests during which backend servers end, over modelled servers in virtual time.
 
 mod common;
 
@@ -21,8 +21,8 @@
 use lentillift_scatter::query::Query;
 use std::sync::Arc;
 
-/// A search that ends each server which runs it ends both replicas of every shard, and no other search is
-/// answered until they are back.
+/// A search that ends each server which runs it ends both replicas of every shard, and no other
+/// search is answered until they are up again.
 macro_rules! spares_replicas {
     ($($name:ident: $after:expr;)*) => {$(
         #[test]
@@ -31,7 +31,7 @@
             let (mut core, route) = pairs(20, coverage);
             let run = simulate(&mut core, route, CALLER_TIMEOUT, |_| Behavior::Ends($after));
             let replicas = run.sent.iter().filter(|id| id.starts_with('b')).count();
-            // What an answer may lack, and two more to find out.
+            // What an answer may lack, and two canaries.
             let allowed = (20.0 * (1.0 - coverage)) as usize + 2;
             assert!(replicas <= allowed, "{replicas} of {run:?}");
         }
@@ -44,8 +44,8 @@
     a_search_that_ends_servers_late_spares_replicas: MS * 80;
 }
 
-/// Requests that were merely there when servers ended. Held for what ended them they would be refused, though
-/// other replicas serve them.
+/// Harmless requests were in flight when servers ended. If they were blamed for it they would be
+/// refused, though other replicas can serve them.
 macro_rules! serves_harmless_requests {
     ($($(#[$doc:meta])* $name:ident: $behavior:expr => $missing:expr;)*) => {$(
         $(#[$doc])*
@@ -85,8 +85,8 @@
     } => 0;
 }
 
-/// All servers end at once, whatever they were asked. Nobody can be asked to find out, and when they are
-/// back the search that its caller asks again has to be served.
+/// All servers end at once, for a reason unrelated to the search. No server is left for a canary,
+/// and when they are up again the search has to be served when its caller retries it.
 #[test]
 fn a_search_is_served_after_all_servers_ended() {
     let (mut core, route) = pairs(20, 0.9);
@@ -103,7 +103,7 @@
     assert!(is_complete(&again), "{again:?}");
 }
 
-/// A request is sent on, each time that its caller comes again, though each server that ran it ended.
+/// A request is sent on each time that its caller retries it, though each server that ran it ended.
 macro_rules! stops_fatal_requests {
     ($($name:ident: $world:expr, $servers:expr;)*) => {$(
         #[test]
@@ -134,8 +134,8 @@
     a_fatal_action: pool(9, Kind::Once), 3;
 }
 
-/// Sends wait for connections while the first server ends. They are withheld, which is not the servers' fault, and
-/// go out once the canary has been answered.
+/// Sends wait for connections while the first server ends. They are withheld, which is not the
+/// servers' fault, and go out once the canary has been answered.
 #[test]
 fn sends_that_are_withheld_go_out_after_the_canary() {
     let (mut core, route) = pairs(3, 1.0);
@@ -173,8 +173,8 @@
     assert_eq!(query.repeats(), 1);
 }
 
-/// Another host asks for shards of a search under which servers ended here. It is told so, and nothing is
-/// sent: what it knows decides.
+/// Another host asks for shards of a search during which servers ended here. This host declines
+/// them and sends nothing: the asking host decides.
 #[test]
 fn a_suspect_search_is_not_sent_for_another_host() {
     let (mut core, route) = pairs(5, 1.0);
--- a/crates/lentillift-scatter/tests/switches.rs
+++ b/crates/lentillift-scatter/tests/switches.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// An operator mistypes a name. Taken for nothing, the mechanism that does harm would work on.
+/// An operator mistypes a name. If it were ignored, the mechanism that does harm would stay on.
 #[test]
 fn an_unknown_name_is_refused_with_those_that_are_known() {
     let error = "reserve, hedges"
