--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -318,14 +318,14 @@
     {
         let latest = self.view.clone()?;
         let servers = latest.servers.get(service)?;
-        let bounds = view.config.services.get(service);
+        let limits = view.config.services.get(service);
         let mut context = ChoiceContext {
             now,
             domain: &self.domain,
             share: &self.share,
             typical,
-            connections: bounds.map_or(1, |bounds| bounds.connections),
-            cold_rate: bounds.and_then(|bounds| bounds.cold_rate),
+            connections: limits.map_or(1, |limits| limits.connections),
+            cold_rate: limits.and_then(|limits| limits.cold_rate),
             cold: self.options.cold,
             host_hash: self.host_hash,
             includes_backed_off: false,
--- a/crates/lentillift-scatter/src/limit.rs
+++ b/crates/lentillift-scatter/src/limit.rs
@@ -54,8 +54,8 @@
     pub fn allowed(&self, share: &Share, rate: f64, host_hash: u64) -> usize {
         let total = (rate * self.factor + self.extra).floor().max(0.0) as u64;
         let hosts = u64::from(share.place().hosts.max(1));
-        let rest = u64::from(host_hash % hosts < total % hosts);
-        (total / hosts + rest) as usize
+        let remainder = u64::from(host_hash % hosts < total % hosts);
+        (total / hosts + remainder) as usize
     }
 }
 
--- a/crates/lentillift-scatter/src/loss.rs
+++ b/crates/lentillift-scatter/src/loss.rs
@@ -32,8 +32,8 @@
             return;
         }
         let sample = lost as f64 / shards as f64;
-        let kept = (1.0 - SHARD_WEIGHT).powi(i32::try_from(shards).unwrap_or(i32::MAX));
-        self.share = self.share(now) * kept + sample * (1.0 - kept);
+        let decay = (1.0 - SHARD_WEIGHT).powi(i32::try_from(shards).unwrap_or(i32::MAX));
+        self.share = self.share(now) * decay + sample * (1.0 - decay);
         self.at = now;
     }
 
--- a/crates/lentillift-scatter/src/query/first_sends.rs
+++ b/crates/lentillift-scatter/src/query/first_sends.rs
@@ -95,8 +95,8 @@
         let usable = core.view.as_ref().and_then(|view| {
             let servers = view.servers.get(service)?.iter();
             Some(servers.filter(|server| {
-                let out = view.evacuated.contains(&server.entry.domain);
-                !out && server.last_resort_until.is_none()
+                let is_evacuated = view.evacuated.contains(&server.entry.domain);
+                !is_evacuated && server.last_resort_until.is_none()
             }))
         });
         usable.into_iter().flatten()
--- a/crates/lentillift-scatter/src/query/retry.rs
+++ b/crates/lentillift-scatter/src/query/retry.rs
@@ -177,8 +177,8 @@
             |server: &Server| is_allowed(server) && !state.rejected_by.contains(&server.entry.id);
         let choice = core.choose(view, &state.service, typical, now, not_rejected);
         let choice = choice.or_else(|| {
-            let idle = state.in_flight.is_empty() && rejected == RejectedServers::Retry;
-            let retryable = |server: &Server| idle && is_allowed(server);
+            let may_retry = state.in_flight.is_empty() && rejected == RejectedServers::Retry;
+            let retryable = |server: &Server| may_retry && is_allowed(server);
             core.choose(view, &state.service, typical, now, retryable)
         })?;
         (now + choice.expected < self.plan.deadline).then_some(choice)
@@ -224,10 +224,10 @@
     /// cause.
     fn hedges_paused_until(&self, now: Time) -> Option<Time> {
         let open = self.legs.iter().filter(|leg| leg.done.is_none()).count();
-        let few = (self.legs.len() as f64 * MAX_HEDGED_FRACTION).max(2.0);
-        let last = self.plan.arrived + self.plan.route.objective.mul_f64(HEDGE_PAUSE_FRACTION);
-        let is_paused = open as f64 > few && now < last;
-        is_paused.then(|| last.min(now + HEDGE_RECHECK))
+        let max_open = (self.legs.len() as f64 * MAX_HEDGED_FRACTION).max(2.0);
+        let pause_end = self.plan.arrived + self.plan.route.objective.mul_f64(HEDGE_PAUSE_FRACTION);
+        let is_paused = open as f64 > max_open && now < pause_end;
+        is_paused.then(|| pause_end.min(now + HEDGE_RECHECK))
     }
 
     /// Avoids the hosts whose first update for this leg is late.
--- a/crates/lentillift-scatter/src/share.rs
+++ b/crates/lentillift-scatter/src/share.rs
@@ -82,8 +82,8 @@
     ///
     /// 158 repeats over fifty-nine hosts, rounded down at each, would be forty less.
     pub fn part(&self, total: u32, offset: u64, now: Time) -> u32 {
-        let binding = self.former.iter().filter(|(_, until)| *until > now);
-        let former = binding.map(|(place, _)| place.part(total, offset));
+        let applicable = self.former.iter().filter(|(_, until)| *until > now);
+        let former = applicable.map(|(place, _)| place.part(total, offset));
         former.fold(self.place.part(total, offset), u32::min)
     }
 
