--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -234,8 +234,8 @@
 /// A backend server crashed while the publishing service was unavailable, and another one has its
 /// address. The branch host had no other local replica for its shard and tried it with every
 /// search, and so did late searches. 426 requests in ten seconds came to the other server, whose
-/// service may get 235 more than there are searches. Log lines of branches showed `another server's
-/// address` in each of them.
+/// service may get 235 more than there are searches. Each log line of a branch showed
+/// `another server's address`.
 #[test]
 fn an_address_of_another_server_is_tried_once() {
     let (mut core, plan) = search_with(remote_pairs(5));
