--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -23,7 +23,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_scatter::delay::Stamp;
-use lentillift_scatter::outcome::Brought;
+use lentillift_scatter::outcome::BranchUpdate;
 use lentillift_scatter::outcome::Outcome;
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::report::Report;
@@ -96,7 +96,7 @@
         return Told::without(Outcome::Unreachable, "host is not known");
     };
     let asked = host.now();
-    let until = asked + send.left;
+    let until = asked + send.timeout;
     let stamp = Stamp {
         host: host.name.clone(),
         incarnation: host.swim.borrow().own().incarnation,
@@ -109,7 +109,7 @@
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = http::Method::POST;
     *request.uri_mut() = http::Uri::from_static("http://host/v2/branch");
-    let sent = tokio::time::timeout(send.left, host.peers.send(address, request)).await;
+    let sent = tokio::time::timeout(send.timeout, host.peers.send(address, request)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(e)) if e.step == Step::Connect => {
@@ -164,7 +164,7 @@
             legs.copied().collect()
         };
         let places: Vec<u16> = answer.parts.iter().map(|(place, _)| *place).collect();
-        let mut brought = Brought {
+        let mut brought = BranchUpdate {
             done: legs(&places),
             declined: legs(&answer.declined),
             failed: legs(&answer.failed),
@@ -198,7 +198,7 @@
 {
     let reports: Vec<Report> = slow.iter().map(Report::from).collect();
     let now = host.now();
-    let newer = host.core.borrow_mut().book.hear(&reports, now);
+    let newer = host.core.borrow_mut().replicas.merge_reports(&reports, now);
     if newer > 0 {
         info!(
             event = "slow",
--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -63,7 +63,7 @@
         .delays
         .borrow_mut()
         .note(&Stamp::from(question), host.now());
-    if delay < delay::MOST || !host.is_on(Mechanism::LateQuestions) {
+    if delay < delay::MAX_DELAY || !host.is_on(Mechanism::LateQuestions) {
         return Ok(delay);
     }
     let cause = format!("question {} was held up for {delay:?}", question.id);
@@ -116,7 +116,7 @@
         let deadline = now + left.saturating_sub(delay);
         let told = vec![false; services.len()];
         let plan = Plan::branch(&route, &view, services, now, deadline);
-        let plan = plan.with(message.fingerprint);
+        let plan = plan.with_fingerprint(message.fingerprint);
         Ok(Self {
             run: Run::start(host, plan, Rc::new(message), question.authority.into()),
             first: now + Duration::from_millis(question.first_ms.into()),
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -213,7 +213,7 @@
         me,
         tuning.seeds,
         settings.regions.clone(),
-        StdRng::seed_from_u64(incarnation ^ core.ticket),
+        StdRng::seed_from_u64(incarnation ^ core.host_hash),
     );
     Rc::new(Host {
         name: settings.name.clone(),
@@ -289,7 +289,7 @@
         last = now;
         outdated = note_outdated(&host, outdated);
         host.take_place();
-        host.core.borrow_mut().forget(now);
+        host.core.borrow_mut().expire_quarantine(now);
         let expired = host.catalog.borrow_mut().expire(now);
         if expired {
             host.redraw();
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -76,10 +76,10 @@
     *request.uri_mut() = message.path.clone();
     *request.headers_mut() = message.headers.clone();
     let backend = &server.entry.id;
-    let left = send.left;
+    let left = send.timeout;
     host.dialect.address(request.headers_mut(), backend, left);
     let is_withheld = || is_withheld(host, message, send);
-    let may_leave = || host.core.borrow().may_leave(server, host.now()) && !is_withheld();
+    let may_leave = || host.core.borrow().may_send(server, host.now()) && !is_withheld();
     let exchange = host.pool.exchange(server, kind, request, may_leave);
     match tokio::time::timeout(left + SLACK, exchange).await {
         Ok(Ok(response)) => judge(&host.dialect, message, response),
@@ -100,7 +100,7 @@
 fn is_withheld<D, S>(host: &Host<D, S>, message: &Message, send: &Send) -> bool {
     let core = host.core.borrow();
     let verdict = core.verdict(Some(message.fingerprint), host.clock.now());
-    !send.canary && !send.proven && verdict != Verdict::Clear
+    !send.canary && !send.has_reply && verdict != Verdict::Clear
 }
 
 /// Notes that a server's process ended while it had the request.
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -20,10 +20,10 @@
 use lentillift_scatter::catalog::Change;
 use lentillift_scatter::core::Core;
 use lentillift_scatter::delay::Delays;
-use lentillift_scatter::grace::Before;
 use lentillift_scatter::grace::Grace;
+use lentillift_scatter::grace::LastKnown;
 use lentillift_scatter::share::Roster;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use lentillift_scatter::switch::Mechanism;
 use rand::rngs::StdRng;
 use std::cell::Cell;
@@ -143,7 +143,7 @@
     }
 
     /// Takes in news that held `age` ago; followers are told of it at once.
-    pub fn learn(&self, news: Option<News>, age: Duration) {
+    pub fn learn(&self, news: Option<Update>, age: Duration) {
         let now = self.now();
         let provenance = Provenance {
             origin: self.origin.borrow().clone(),
@@ -155,7 +155,7 @@
             let grace = self.grace();
             let mut catalog = self.catalog.borrow_mut();
             let before = catalog.revision();
-            let changes = catalog.learn(now, news, grace, |item| source.decode(item));
+            let changes = catalog.apply(now, news, grace, |item| source.decode(item));
             let revision = catalog.revision();
             drop(catalog);
             let log = |change| tell(change, revision, &provenance);
@@ -177,9 +177,9 @@
 
     /// Until when servers of which news has just come may still be asked.
     fn grace(&self) -> Grace {
-        let before = Before {
-            proved: self.proved.get(),
-            away: self.away.get(),
+        let before = LastKnown {
+            confirmed_at: self.proved.get(),
+            unavailable_at: self.away.get(),
         };
         Grace::within(self.news.bound, self.now(), before)
     }
@@ -250,7 +250,7 @@
         {
             return Ok(Some(told.content.clone()));
         }
-        let Some(news) = self.catalog.borrow().news(after) else {
+        let Some(news) = self.catalog.borrow().update_since(after) else {
             return Ok(None);
         };
         let content = Content::of(news, self.is_on(Mechanism::Packing), "follower")?;
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -25,7 +25,7 @@
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::plan::Plan;
 use lentillift_scatter::query::Query;
-use lentillift_scatter::replica::Number;
+use lentillift_scatter::replica::SendId;
 use lentillift_scatter::report::Report;
 use lentillift_scatter::switch::Mechanism;
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
     flights: Flights,
     message: Rc<Message>,
     authority: Rc<str>,
-    parts: HashMap<Number, Part>,
+    parts: HashMap<SendId, Part>,
     /// What happened to it, for the log.
     notes: String,
     /// Whether it was decided how the request ends.
@@ -160,7 +160,7 @@
     pub fn reports(&self) -> Vec<Report> {
         let core = self.host.core.borrow();
         match core.options.switches.is_on(Mechanism::Reports) {
-            true => core.book.reports(self.host.now()),
+            true => core.replicas.reports(self.host.now()),
             false => Vec::new(),
         }
     }
@@ -171,7 +171,7 @@
     }
 
     /// Takes what a send brought.
-    pub fn take(&mut self, number: Number) -> Option<Part> {
+    pub fn take(&mut self, number: SendId) -> Option<Part> {
         self.parts.remove(&number)
     }
 
@@ -224,7 +224,7 @@
     /// Time after which a reply counts as late, by what this host has seen on the route.
     fn late_after(&self) -> Duration {
         let mut core = self.host.core.borrow_mut();
-        core.pace(&self.query.plan().route).late
+        core.reply_times(&self.query.plan().route).hedge_delay
     }
 
     /// The services that a send to another host is for.
@@ -257,7 +257,7 @@
     /// Waits until a send ends, something is due, or the time is `until`.
     pub async fn step(&mut self, until: Time) {
         let now = self.host.now();
-        let until = until.min(self.query.due(now));
+        let until = until.min(self.query.next_wakeup(now));
         let wait = until.saturating_sub(now).max(SHORTEST_WAIT);
         tokio::select! {
             biased;
@@ -330,7 +330,7 @@
     }
 
     /// Adds what a host brought to what it brought before.
-    fn join(&mut self, number: Number, merged: Merged) {
+    fn join(&mut self, number: SendId, merged: Merged) {
         let empty = || Part {
             content: Content::Merged(Merged::default()),
         };
@@ -364,7 +364,7 @@
 
     fn done(&mut self, next: Next) -> Done {
         self.finished = true;
-        let wanted: Vec<Number> = match &next {
+        let wanted: Vec<SendId> = match &next {
             Next::Answer { sends, .. } => sends.clone(),
             Next::Pass(number) => vec![*number],
             _ => Vec::new(),
@@ -380,7 +380,7 @@
             next,
             parts,
             repeats: self.query.repeats(),
-            unpaid: self.query.unpaid(),
+            unpaid: self.query.repeats_denied(),
             missing,
             notes: std::mem::take(&mut self.notes),
         }
@@ -396,7 +396,7 @@
             let outcome = told.ended.outcome;
             // What it would send now serves nobody.
             self.query
-                .close(&mut self.host.core.borrow_mut(), now, number, outcome);
+                .ended_after_answer(&mut self.host.core.borrow_mut(), now, number, outcome);
             if let Some(rest) = told.rest {
                 let host = self.host.clone();
                 self.flights
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -41,9 +41,9 @@
 use lentillift_scatter::core::Options;
 use lentillift_scatter::server::Entry;
 use lentillift_scatter::server::Stage;
+use lentillift_scatter::source::Decoded;
 use lentillift_scatter::source::Item;
-use lentillift_scatter::source::Meaning;
-use lentillift_scatter::source::News;
+use lentillift_scatter::source::Update;
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
     /// Whether the next watch is never answered.
     pub is_silent: Rc<Cell<bool>>,
     /// What the next watch that is answered tells.
-    pub news: Rc<RefCell<Option<News>>>,
+    pub news: Rc<RefCell<Option<Update>>>,
 }
 
 impl Memory {
@@ -134,11 +134,11 @@
 }
 
 impl Source for Memory {
-    async fn read(&self, _silence: Duration) -> Result<News> {
+    async fn read(&self, _silence: Duration) -> Result<Update> {
         self.turn_away()?;
         let items = self.items.clone();
         self.leave().await;
-        Ok(News::All { revision: 1, items })
+        Ok(Update::All { revision: 1, items })
     }
 
     async fn watch(
@@ -156,19 +156,19 @@
         }
         tokio::time::sleep(wait).await;
         self.leave().await;
-        Ok(Watched::Changes(News::Changes {
+        Ok(Watched::Changes(Update::Changes {
             revision: after,
             items: Vec::new(),
         }))
     }
 
-    fn decode(&self, item: &Item) -> Meaning {
+    fn decode(&self, item: &Item) -> Decoded {
         let value = item.value.clone().unwrap_or_default();
         let value = String::from_utf8(value).expect("text");
         let words: Vec<&str> = value.split_whitespace().collect();
         match (item.key.as_str(), words.as_slice()) {
-            ("config", shards) => Meaning::Config(Box::new(config(shards))),
-            (id, [service, address, domain]) => Meaning::Server(Entry {
+            ("config", shards) => Decoded::Config(Box::new(config(shards))),
+            (id, [service, address, domain]) => Decoded::Server(Entry {
                 id: id.into(),
                 service: (*service).into(),
                 address: address.parse().expect("an address"),
@@ -176,9 +176,9 @@
                 slots: 2,
                 stage: Stage::Ready,
                 cold_for: Duration::ZERO,
-                born: 1,
+                process_start_ms: 1,
             }),
-            _ => Meaning::Other,
+            _ => Decoded::Other,
         }
     }
 }
@@ -286,7 +286,7 @@
     let (listener, front) = listener().await;
     let host = host("h", "a", front, source);
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.learn(Some(Update::All { revision: 1, items }), Duration::ZERO);
     }
     tokio::task::spawn_local(front::serve(host.clone(), listener, MOST_CALLERS));
     Served { host, front }
@@ -297,7 +297,7 @@
     let (listener, node) = listener().await;
     let host = host(name, domain, node, Memory::default());
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.learn(Some(Update::All { revision: 1, items }), Duration::ZERO);
     }
     host.swim.borrow_mut().serve();
     tokio::task::spawn_local(listen::nodes(host.clone(), listener));
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -1,10 +1,8 @@
-//! What all requests of a host share: the picture they are served by, what is known of backend
-//! servers, budgets, and how long replies take.
+//! State that all requests of a host share: the view they are served from, what is known of backend
+//! servers, the budgets, and reply times.
 
-use crate::book::Around;
-use crate::book::Book;
 use crate::budget;
-use crate::caller::Usual;
+use crate::caller::DefaultRtt;
 use crate::config::Route;
 use crate::host::Hosts;
 use crate::ledger::Ledger;
@@ -13,8 +11,10 @@
 use crate::loss::Loss;
 use crate::quantile;
 use crate::replica::Load;
-use crate::replica::Number;
-use crate::replica::Sign;
+use crate::replica::Observation;
+use crate::replica::SendId;
+use crate::replica_table::ChoiceContext;
+use crate::replica_table::ReplicaTable;
 use crate::server::Entry;
 use crate::server::Server;
 use crate::share::Share;
@@ -34,34 +34,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Figures of how requests are served.
+/// Parameters of how requests are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Bounds on repeated sends.
+    /// Limits on repeated sends.
     pub budget: budget::Options,
-    /// Bounds on requests to cold backend servers.
+    /// Limits on requests to cold backend servers.
     pub cold: limit::Cold,
-    /// Time before the objective at which an answer has to leave this host to arrive in time, beyond
-    /// the way to its caller and back: merging, writing, and a poll of a busy process.
+    /// Time by which an answer has to leave this host before the objective, beyond the round trip
+    /// to its caller: for merging, writing, and one poll of a busy process.
     pub margin: Duration,
-    /// Objectives for which a backend server may work on a shard's part.
+    /// Number of objectives for which a backend server may work on a shard's part.
     ///
-    /// What takes longer comes too late for its caller, and holds a slot that others wait for.
-    pub patience: u32,
-    /// Quantile of reply times after which another replica is asked.
+    /// A longer reply is too late for its caller, and occupies a slot that other requests wait for.
+    pub shard_timeout_objectives: u32,
+    /// Quantile of the reply times after which another replica is tried.
     pub hedge_quantile: f64,
-    /// Largest part of the objective after which another replica is asked.
-    pub hedge_by: f64,
+    /// Maximum fraction of the objective after which another replica is tried.
+    pub max_hedge_fraction: f64,
     /// Whether other hosts are asked for shards that have no replica in this failure domain.
     pub branches: bool,
-    /// Shards that one host asks for by itself in one search; others are asked for the rest.
+    /// Maximum number of shards that one host asks for directly in one search; the rest go through
+    /// other hosts.
     ///
-    /// A host sends and reads one after the other, so a search of many shards takes as long as its
-    /// slowest host is busy with it.
-    pub direct: usize,
-    /// Figures of quarantine.
+    /// A host sends and reads sequentially, so a search of many shards takes as long as its slowest
+    /// host is busy with it.
+    pub max_direct: usize,
+    /// Parameters of the quarantine.
     pub quarantine: quarantine::Options,
-    /// What an operator has switched off.
+    /// Mechanisms that an operator has switched off.
     pub switches: Switches,
 }
 
@@ -78,102 +79,104 @@
                 extra: 0.0,
             },
             margin: Duration::from_millis(5),
-            patience: 2,
+            shard_timeout_objectives: 2,
             hedge_quantile: 0.95,
-            hedge_by: 0.35,
+            max_hedge_fraction: 0.35,
             branches: true,
-            direct: 32,
+            max_direct: 32,
             quarantine: quarantine::Options::default(),
             switches: Switches::default(),
         }
     }
 }
 
-/// Part of the objective that a reply is held to take before any was seen.
-const FIRST_TYPICAL: f64 = 0.12;
+/// Fraction of the objective that is assumed as the typical reply time before any reply was seen.
+const INITIAL_TYPICAL_FRACTION: f64 = 0.12;
 
-/// Reply times of one route's sends.
+/// Estimated reply times of one route's sends.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
-    /// Median.
+pub struct ReplyTimes {
+    /// Median reply time.
     pub typical: Duration,
-    /// The quantile after which another replica is asked.
-    pub late: Duration,
+    /// Quantile of the reply times after which another replica is tried.
+    pub hedge_delay: Duration,
 }
 
-impl Pace {
-    fn first(objective: Duration) -> Self {
-        let typical = objective.mul_f64(FIRST_TYPICAL);
+impl ReplyTimes {
+    /// Returns the estimate before any reply was seen.
+    fn initial(objective: Duration) -> Self {
+        let typical = objective.mul_f64(INITIAL_TYPICAL_FRACTION);
         Self {
             typical,
-            late: typical * 2,
+            hedge_delay: typical * 2,
         }
     }
 
-    /// Takes in a reply time, moving each quantile by a step for its side.
-    fn note(&mut self, took: Duration, quantile: f64) {
+    /// Adds a reply time, moving each quantile by one step.
+    fn record(&mut self, took: Duration, quantile: f64) {
         self.typical = quantile::step(self.typical, took, 0.5);
-        self.late = quantile::step(self.late, took, quantile).max(self.typical);
+        self.hedge_delay = quantile::step(self.hedge_delay, took, quantile).max(self.typical);
     }
 }
 
-/// Weight of one timer in the estimate of how late they fire.
+/// Weight of one timer in the moving average of the lag.
 const LAG_WEIGHT: f64 = 0.05;
 
-/// How late this host's timers fire, because its processor is busy or taken away.
+/// How late this host's timers fire on average, because its processor is busy or preempted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Lag {
     mean: Duration,
 }
 
 impl Lag {
-    /// Notes a timer that fired `late`.
+    /// Adds a timer that fired `late`.
     pub fn note(&mut self, late: Duration) {
-        let late = late.min(MOST_LAG);
+        let late = late.min(MAX_LAG_SAMPLE);
         self.mean = self.mean.mul_f64(1.0 - LAG_WEIGHT) + late.mul_f64(LAG_WEIGHT);
     }
 
-    /// What a timer is to be set earlier by.
+    /// Returns the average lag, by which timers should be set earlier.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 }
 
-/// Most that one timer counts; a process that stood still for seconds is no slower afterwards.
-const MOST_LAG: Duration = Duration::from_millis(50);
+/// Maximum lag that one timer counts for; a process that was stopped for seconds is no slower
+/// afterwards.
+const MAX_LAG_SAMPLE: Duration = Duration::from_millis(50);
 
-/// What all requests of a host share.
+/// State that all requests of a host share.
 #[derive(Debug)]
 pub struct Core {
-    /// Figures.
+    /// Parameters of how requests are served.
     pub options: Options,
     /// This host's name.
     pub name: id::Host,
     /// This host's failure domain.
     pub domain: id::Domain,
-    /// This host's share of what all may do.
+    /// This host's share of fleet-wide limits.
     pub share: Share,
-    /// The latest picture; none before the first.
+    /// The latest view; none before the first.
     pub view: Option<Arc<View>>,
-    /// A number that differs between hosts.
-    pub ticket: u64,
-    /// What is known of backend servers.
-    pub book: Book,
-    /// Other hosts.
+    /// A hash of the host's name, which differs between hosts.
+    pub host_hash: u64,
+    /// State of each backend server.
+    pub replicas: ReplicaTable,
+    /// The other hosts.
     pub hosts: Hosts,
-    /// Shards that other hosts were asked for in vain.
+    /// Recent loss of shards that other hosts were asked for.
     pub loss: Loss,
-    /// Requests under which backend servers ended.
+    /// Requests during which backend servers ended.
     pub quarantine: quarantine::Table,
-    /// How far away callers are that have not told.
-    pub callers: Usual,
+    /// Round trip that is assumed for callers without a measurement.
+    pub caller_rtt: DefaultRtt,
     /// How late this host's timers fire.
     pub lag: Lag,
     ledger: Ledger,
-    /// Longest time that callers of each route said they would wait.
-    patience: HashMap<Arc<str>, Duration>,
-    paces: HashMap<Arc<str>, Pace>,
-    next: Number,
+    /// Longest waiting time that callers of each route announced.
+    longest_wait: HashMap<Arc<str>, Duration>,
+    reply_times: HashMap<Arc<str>, ReplyTimes>,
+    last_send_id: SendId,
 }
 
 /// A replica to send to.
@@ -181,97 +184,101 @@
 pub struct Choice {
     /// The backend server.
     pub server: Arc<Server>,
-    /// Time until its reply.
+    /// Expected time until its reply.
     pub expected: Duration,
 }
 
 impl Core {
-    /// Starts with nothing known.
+    /// Creates the state of a new process: no view, no estimates.
     pub fn new(options: Options, name: id::Host, domain: id::Domain, share: Share) -> Self {
         Self {
             options,
-            ticket: rendezvous::weight("ticket", &name),
+            host_hash: rendezvous::weight("ticket", &name),
             name,
             domain,
             share,
             view: None,
-            book: Book::default(),
+            replicas: ReplicaTable::default(),
             hosts: Hosts::default(),
             loss: Loss::default(),
             quarantine: quarantine::Table::default(),
-            callers: Usual::default(),
+            caller_rtt: DefaultRtt::default(),
             lag: Lag::default(),
             ledger: Ledger::default(),
-            patience: HashMap::new(),
-            paces: HashMap::new(),
-            next: 0,
+            longest_wait: HashMap::new(),
+            reply_times: HashMap::new(),
+            last_send_id: 0,
         }
     }
 
-    /// Serves requests that arrive from now on by `view`.
+    /// Makes `view` the latest view and drops state of servers, services and routes that it lacks.
     pub fn adopt(&mut self, view: View) {
         let servers = view.servers.values().flatten();
         let known: HashSet<_> = servers.map(|s| s.entry.id.clone()).collect();
-        self.book.retain(|backend| known.contains(backend));
+        self.replicas.retain(|backend| known.contains(backend));
         self.ledger.retain(|service| {
             view.config.services.contains_key(service) || view.servers.contains_key(service)
         });
         let routes: HashSet<Arc<str>> = view.config.routes().map(|r| r.name.clone()).collect();
-        self.paces.retain(|route, _| routes.contains(route));
-        self.patience.retain(|route, _| routes.contains(route));
+        self.reply_times.retain(|route, _| routes.contains(route));
+        self.longest_wait.retain(|route, _| routes.contains(route));
         self.view = Some(Arc::new(view));
     }
 
-    /// A number for the next send.
-    pub fn number(&mut self) -> Number {
-        self.next += 1;
-        self.next
+    /// Returns the id of the next send.
+    pub fn next_send_id(&mut self) -> SendId {
+        self.last_send_id += 1;
+        self.last_send_id
     }
 
-    /// Reply times of the route's sends.
-    pub fn pace(&mut self, route: &Route) -> Pace {
-        let first = || Pace::first(route.objective);
-        match self.paces.get(&route.name) {
-            Some(pace) => *pace,
-            None => *self.paces.entry(route.name.clone()).or_insert_with(first),
+    /// Returns the estimated reply times of the route.
+    pub fn reply_times(&mut self, route: &Route) -> ReplyTimes {
+        let initial = || ReplyTimes::initial(route.objective);
+        match self.reply_times.get(&route.name) {
+            Some(times) => *times,
+            None => *self
+                .reply_times
+                .entry(route.name.clone())
+                .or_insert_with(initial),
         }
     }
 
-    /// Time that a caller with `left` to wait has already spent, on a first connection or the like.
+    /// Returns the time that a caller with `left` to wait has already spent, e.g. on opening a
+    /// connection.
     ///
-    /// Callers of a route say the same when they have spent nothing, so what is less than the most is
-    /// time spent. More than an objective is a caller of another kind, or one that comes again, and
-    /// nothing is gained by hurrying.
-    pub fn spent(&mut self, route: &Route, left: Duration) -> Duration {
-        let most = match self.patience.get_mut(&route.name) {
-            Some(most) => most,
-            None => self.patience.entry(route.name.clone()).or_insert(left),
+    /// Callers of a route announce the same time when they have spent none of it, so the difference
+    /// from the longest time is what was spent. More than half an objective means another kind of
+    /// caller, or one that retries; hurrying would gain nothing there.
+    pub fn time_spent(&mut self, route: &Route, left: Duration) -> Duration {
+        let longest = match self.longest_wait.get_mut(&route.name) {
+            Some(longest) => longest,
+            None => self.longest_wait.entry(route.name.clone()).or_insert(left),
         };
-        *most = left.max(*most);
-        let spent = most.saturating_sub(left);
+        *longest = left.max(*longest);
+        let spent = longest.saturating_sub(left);
         match spent < route.objective / 2 {
             true => spent,
             false => Duration::ZERO,
         }
     }
 
-    /// Notes the first send of a request for a service.
+    /// Counts the first send of a request to a service towards the budget.
     pub fn earn(&mut self, service: &id::Service, now: Time) {
         self.ledger.earn(&self.options.budget, service, now);
     }
 
     /// Whether other hosts lose no more shards than repeats can make up for.
-    pub fn trusts_hosts(&self, now: Time) -> bool {
+    pub fn may_use_branches(&self, now: Time) -> bool {
         let switch = self.options.switches.is_on(Mechanism::Loss);
         !switch || self.loss.share(now) <= self.options.budget.ratio
     }
 
-    /// Pays for a repeated send.
+    /// Takes a repeated send from the budget; false if the budget denies it.
     pub fn spend(&mut self, service: &id::Service, now: Time, purpose: Purpose) -> bool {
         let Options {
             budget, switches, ..
         } = &self.options;
-        // Without the reserve every repeat counts as one that decides about an answer.
+        // Without the reserve every repeat counts as one that an answer depends on.
         let purpose = match switches.is_on(Mechanism::Reserve) {
             true => purpose,
             false => Purpose::Answer,
@@ -283,20 +290,21 @@
                 .spend(budget, &self.share, service, now, purpose)
     }
 
-    /// Takes back a repeated send that never reached a backend server.
+    /// Returns a repeated send that never reached a backend server to the budget.
     pub fn refund(&mut self, service: &id::Service, now: Time) {
         self.ledger.refund(&self.options.budget, service, now);
     }
 
-    /// What the budgets of all services still allow together.
+    /// Returns the repeated sends that the budgets of all services together still allow.
     pub fn budget_left(&mut self, now: Time) -> f64 {
         self.ledger.left(&self.options.budget, &self.share, now)
     }
 
-    /// The best backend server of `service` that `allows` lets through.
+    /// Returns the best backend server of `service` among those that `allows` accepts.
     ///
-    /// Under `view`, but never one that the latest picture excludes: a request that waited must not
-    /// go to a failure domain that was evacuated, or to a server that left, since it arrived.
+    /// Limits come from `view`, but servers from the latest view only: a request that waited must
+    /// not go to a failure domain that was evacuated, or to a server that left, after the request
+    /// arrived.
     pub fn choose<F>(
         &mut self,
         view: &View,
@@ -310,32 +318,37 @@
     {
         let latest = self.view.clone()?;
         let servers = latest.servers.get(service)?;
-        let bounds = view.config.services.get(service);
-        let mut around = Around {
+        let limits = view.config.services.get(service);
+        let mut context = ChoiceContext {
             now,
             domain: &self.domain,
             share: &self.share,
             typical,
-            connections: bounds.map_or(1, |bounds| bounds.connections),
-            cold_rate: bounds.and_then(|bounds| bounds.cold_rate),
+            connections: limits.map_or(1, |limits| limits.connections),
+            cold_rate: limits.and_then(|limits| limits.cold_rate),
             cold: self.options.cold,
-            ticket: self.ticket,
-            desperate: false,
+            host_hash: self.host_hash,
+            includes_backed_off: false,
         };
-        let may = |server: &&Arc<Server>| {
+        let is_allowed = |server: &&Arc<Server>| {
             !latest.evacuated.contains(&server.entry.domain) && allows(server)
         };
-        let ready = |server: &&Arc<Server>| server.last_resort_until.is_none();
-        let last = |server: &&Arc<Server>| server.last_resort_until.is_some_and(|at| now < at);
-        let book = &mut self.book;
-        let mut best = book.choose(&around, servers.iter().filter(may).filter(ready));
+        let is_ready = |server: &&Arc<Server>| server.last_resort_until.is_none();
+        let is_last_resort =
+            |server: &&Arc<Server>| server.last_resort_until.is_some_and(|at| now < at);
+        let replicas = &mut self.replicas;
+        let mut best =
+            replicas.choose(&context, servers.iter().filter(is_allowed).filter(is_ready));
         if best.is_none() && self.options.switches.is_on(Mechanism::LastResort) {
-            best = book.choose(&around, servers.iter().filter(may).filter(last));
+            best = replicas.choose(
+                &context,
+                servers.iter().filter(is_allowed).filter(is_last_resort),
+            );
         }
         if best.is_none() {
-            // All are left alone for a while. One request at a time finds out whether one is back.
-            around.desperate = true;
-            best = book.choose(&around, servers.iter().filter(may).filter(ready));
+            // All are backed off. One request at a time finds out whether one has recovered.
+            context.includes_backed_off = true;
+            best = replicas.choose(&context, servers.iter().filter(is_allowed).filter(is_ready));
         }
         best.map(|(server, expected)| Choice {
             server: server.clone(),
@@ -343,16 +356,18 @@
         })
     }
 
-    /// Whether the server of a choice is left alone for now, and was chosen for want of another.
-    pub fn is_down(&mut self, choice: &Choice, now: Time) -> bool {
-        self.book.get(&choice.server.entry.id).is_down(now)
+    /// Whether the chosen server is backed off, and was chosen only for lack of another.
+    pub fn is_backed_off(&mut self, choice: &Choice, now: Time) -> bool {
+        self.replicas
+            .get(&choice.server.entry.id)
+            .is_backed_off(now)
     }
 
-    /// Whether a send to `server` that was decided earlier may still leave.
+    /// Whether a send to `server` that was decided earlier may still be made.
     ///
-    /// What goes wrong without it: between the choice and the first byte a connection is opened or the
-    /// processor is elsewhere, and news of an evacuation or of the server's leaving comes in.
-    pub fn may_leave(&self, server: &Server, now: Time) -> bool {
+    /// Between the choice and the first byte a connection is opened, or the process waits for a
+    /// processor. Meanwhile an update may announce an evacuation, or that the server is leaving.
+    pub fn may_send(&self, server: &Server, now: Time) -> bool {
         let Some(view) = &self.view else {
             return false;
         };
@@ -369,27 +384,27 @@
             .is_some_and(|known| known.last_resort_until.is_none_or(|at| now < at))
     }
 
-    /// The request's fingerprint, if anything is to be remembered of it.
-    pub(crate) fn remembers(&self, fingerprint: Option<Fingerprint>) -> Option<Fingerprint> {
+    /// Returns the request's fingerprint unless quarantine is switched off.
+    pub(crate) fn tracked(&self, fingerprint: Option<Fingerprint>) -> Option<Fingerprint> {
         let switches = &self.options.switches;
         fingerprint.filter(|_| switches.is_on(Mechanism::Quarantine))
     }
 
-    /// How a request that has just arrived is treated.
+    /// Returns how to treat a request that has just arrived.
     pub fn admit(&mut self, fingerprint: Option<Fingerprint>, now: Time) -> Admission {
-        match self.remembers(fingerprint) {
+        match self.tracked(fingerprint) {
             Some(known) => self.quarantine.admit(&self.options.quarantine, known, now),
             None => Admission::Serve,
         }
     }
 
-    /// What is held of a request.
+    /// Returns the quarantine verdict on a request.
     pub fn verdict(&self, fingerprint: Option<Fingerprint>, now: Time) -> Verdict {
-        let known = self.remembers(fingerprint);
+        let known = self.tracked(fingerprint);
         known.map_or(Verdict::Clear, |known| self.quarantine.verdict(known, now))
     }
 
-    /// Notes that `server` ended while it had the request, with no reply of another to it.
+    /// Records that `server` ended while it had the request and no other server had replied to it.
     pub fn server_ended(
         &mut self,
         fingerprint: Option<Fingerprint>,
@@ -397,17 +412,21 @@
         canary: bool,
         now: Time,
     ) {
-        if let Some(known) = self.remembers(fingerprint) {
-            let Entry { id, born, .. } = &server.entry;
-            let process = quarantine::process(id, *born);
+        if let Some(known) = self.tracked(fingerprint) {
+            let Entry {
+                id,
+                process_start_ms,
+                ..
+            } = &server.entry;
+            let process = quarantine::process(id, *process_start_ms);
             let end = End { process, canary };
             let options = &self.options.quarantine;
             self.quarantine.ended(options, known, end, now);
         }
     }
 
-    /// Takes in what another host holds of requests under which servers ended; says how much was new.
-    pub fn hear(&mut self, accounts: &[quarantine::Account], now: Time) -> usize {
+    /// Merges another host's quarantine records; returns how many were new.
+    pub fn merge_quarantine(&mut self, accounts: &[quarantine::Account], now: Time) -> usize {
         if !self.options.switches.is_on(Mechanism::Quarantine) {
             return 0;
         }
@@ -415,55 +434,57 @@
             .hear(&self.options.quarantine, accounts, now)
     }
 
-    /// Forgets what is known of requests and led to nothing.
-    pub fn forget(&mut self, now: Time) {
+    /// Drops quarantine records that have expired.
+    pub fn expire_quarantine(&mut self, now: Time) {
         self.quarantine.expire(&self.options.quarantine, now);
     }
 
-    /// Notes that a server ran the request and replied.
+    /// Records that a server ran the request and replied.
     pub fn server_answered(&mut self, fingerprint: Option<Fingerprint>, now: Time) {
-        if let Some(known) = self.remembers(fingerprint) {
+        if let Some(known) = self.tracked(fingerprint) {
             self.quarantine
                 .answered(&self.options.quarantine, known, now);
         }
     }
 
-    /// Notes a send to a backend server.
-    pub fn sent(&mut self, number: Number, server: &Server, now: Time) {
-        let replica = self.book.get(&server.entry.id);
-        replica.sent(number, now);
+    /// Records a send to a backend server.
+    pub fn sent(&mut self, send_id: SendId, server: &Server, now: Time) {
+        let replica = self.replicas.get(&server.entry.id);
+        replica.sent(send_id, now);
         if server.cold_until > now {
             replica.sent_cold(now);
         }
     }
 
-    /// Notes a whole reply and how long it took.
+    /// Records a complete reply and how long it took.
     pub fn replied(
         &mut self,
-        number: Number,
+        send_id: SendId,
         server: &Server,
         route: &Route,
         took: Duration,
         now: Time,
         load: Option<Load>,
     ) {
-        let mut pace = self.pace(route);
-        let slowness = took.as_secs_f64() / pace.typical.as_secs_f64();
-        pace.note(took, self.options.hedge_quantile);
-        self.paces.insert(route.name.clone(), pace);
-        let sign = Sign::Replied { slowness };
-        self.ended(number, &server.entry.id, sign, now, load);
+        let mut times = self.reply_times(route);
+        let slowness = took.as_secs_f64() / times.typical.as_secs_f64();
+        times.record(took, self.options.hedge_quantile);
+        self.reply_times.insert(route.name.clone(), times);
+        let observation = Observation::Replied { slowness };
+        self.ended(send_id, &server.entry.id, observation, now, load);
     }
 
-    /// Notes how a send to a backend server ended otherwise.
+    /// Records any other end of a send to a backend server.
     pub fn ended(
         &mut self,
-        number: Number,
+        send_id: SendId,
         backend: &id::Backend,
-        sign: Sign,
+        observation: Observation,
         now: Time,
         load: Option<Load>,
     ) {
-        self.book.get(backend).ended(number, now, sign, load);
+        self.replicas
+            .get(backend)
+            .ended(send_id, now, observation, load);
     }
 }
--- a/crates/lentillift-scatter/src/leg.rs
+++ b/crates/lentillift-scatter/src/leg.rs
@@ -1,6 +1,7 @@
-//! One shard's part of a request: which sends are under way, and whether one has brought the part.
+//! A leg: one shard's part of a request, with its sends in flight and whether one has returned the
+//! part.
 
-use crate::replica::Number;
+use crate::replica::SendId;
 use crate::server::Server;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -13,38 +14,38 @@
     Server(Arc<Server>),
     /// To another host, which asks a backend server of its failure domain.
     Host {
-        /// The host.
+        /// Name of the host.
         host: id::Host,
-        /// Its failure domain.
+        /// Failure domain of the host.
         domain: id::Domain,
     },
 }
 
 /// One send that has not ended.
 #[derive(Debug, Clone)]
-pub struct Try {
-    /// Its number.
-    pub number: Number,
+pub struct Attempt {
+    /// Id of the send.
+    pub send_id: SendId,
     /// Where it went.
     pub target: Target,
     /// When it was sent.
     pub sent: Time,
-    /// Whether it was paid for as a repeated send.
+    /// Whether it was taken from the budget as a repeated send.
     pub repeat: bool,
-    /// Whether it finds out by itself what its request does to a server.
+    /// Whether it is a canary: a single send that tests whether its request ends servers.
     pub canary: bool,
 }
 
-/// How far a leg has come.
+/// Progress of a leg.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// A send is under way, or will be.
+    /// A send is in flight or scheduled.
     Open,
-    /// This send brought the part.
-    Done(Number),
-    /// Nothing was sent that could have arrived.
+    /// This send returned the part.
+    Done(SendId),
+    /// No send can have reached a backend server.
     Declined,
-    /// What was sent brought nothing.
+    /// Every send ended without returning the part.
     Failed,
 }
 
@@ -54,83 +55,93 @@
     /// The service that holds the shard.
     pub service: id::Service,
     /// Sends that have not ended.
-    pub tries: Vec<Try>,
-    /// Backend servers that may have run it.
-    pub ran: Vec<id::Backend>,
-    /// Failure domains in which a backend server that another host chose may have run it.
-    pub ran_in: Vec<id::Domain>,
-    /// Backend servers that turned it away or could not be reached.
-    pub turned_away: Vec<id::Backend>,
-    /// Sends that arrived at a backend server, or may have.
+    pub in_flight: Vec<Attempt>,
+    /// Backend servers that may have run the request.
+    pub may_have_run: Vec<id::Backend>,
+    /// Failure domains in which a backend server chosen by another host may have run the request.
+    pub may_have_run_in: Vec<id::Domain>,
+    /// Backend servers that rejected the request or could not be reached.
+    pub rejected_by: Vec<id::Backend>,
+    /// Number of sends that reached a backend server, or may have.
     pub arrivals: u32,
-    /// Whether the request was counted for the budget.
-    pub earned: bool,
-    /// The send that brought the part.
-    pub done: Option<Number>,
+    /// Whether the request was counted towards the budget.
+    pub is_counted: bool,
+    /// The send that returned the part.
+    pub done: Option<SendId>,
     /// The last send that ended in a failure of the backend server's own.
-    pub failed: Option<Number>,
-    /// When another replica is to be asked.
+    pub failed: Option<SendId>,
+    /// When another replica is to be tried.
     pub hedge_at: Option<Time>,
-    /// Whether it waits for a canary.
-    pub held: bool,
+    /// Whether it waits for the result of a canary.
+    pub waits_for_canary: bool,
 }
 
 impl Leg {
-    /// A leg for which nothing was sent.
+    /// Creates a leg without any sends.
     pub fn new(service: id::Service) -> Self {
         Self {
             service,
-            tries: Vec::new(),
-            ran: Vec::new(),
-            ran_in: Vec::new(),
-            turned_away: Vec::new(),
+            in_flight: Vec::new(),
+            may_have_run: Vec::new(),
+            may_have_run_in: Vec::new(),
+            rejected_by: Vec::new(),
             arrivals: 0,
-            earned: false,
+            is_counted: false,
             done: None,
             failed: None,
             hedge_at: None,
-            held: false,
+            waits_for_canary: false,
         }
     }
 
-    /// How far it has come.
+    /// Returns the progress of the leg.
     pub fn state(&self) -> State {
         match self.done {
-            Some(number) => State::Done(number),
-            None if !self.tries.is_empty() || self.hedge_at.is_some() || self.held => State::Open,
+            Some(send_id) => State::Done(send_id),
+            None if !self.in_flight.is_empty()
+                || self.hedge_at.is_some()
+                || self.waits_for_canary =>
+            {
+                State::Open
+            }
             None if self.arrivals == 0 => State::Declined,
             None => State::Failed,
         }
     }
 
-    /// Whether its part is neither here nor on its way, and no send is due.
+    /// Whether its part is missing and no send is in flight or scheduled.
     pub fn is_lost(&self) -> bool {
         matches!(self.state(), State::Declined | State::Failed)
     }
 
-    /// Backend servers that run it or may have.
-    pub fn attempts(&self) -> usize {
-        self.tries.len() + self.ran.len() + self.ran_in.len()
+    /// Returns how many backend servers run the request or may have run it.
+    pub fn possible_runs(&self) -> usize {
+        self.in_flight.len() + self.may_have_run.len() + self.may_have_run_in.len()
     }
 
-    /// Whether no backend server can have run it.
-    pub fn is_untouched(&self) -> bool {
-        self.attempts() == 0
+    /// Whether no backend server can have run the request.
+    pub fn cannot_have_run(&self) -> bool {
+        self.possible_runs() == 0
     }
 
-    /// Takes out a send that ended.
-    pub fn take(&mut self, number: Number) -> Option<Try> {
-        let place = self.tries.iter().position(|sent| sent.number == number)?;
-        Some(self.tries.remove(place))
+    /// Removes and returns a send that ended; none if it is not in flight.
+    pub fn remove(&mut self, send_id: SendId) -> Option<Attempt> {
+        let place = self
+            .in_flight
+            .iter()
+            .position(|sent| sent.send_id == send_id)?;
+        Some(self.in_flight.remove(place))
     }
 
-    /// Whether `server` has been asked, or may have been by another host.
-    pub fn has_asked(&self, server: &Server) -> bool {
+    /// Whether `server` was sent the request, or may have been by another host.
+    pub fn was_sent_to(&self, server: &Server) -> bool {
         let entry = &server.entry;
-        let pending = self.tries.iter().any(|sent| match &sent.target {
-            Target::Server(asked) => asked.entry.id == entry.id,
+        let pending = self.in_flight.iter().any(|sent| match &sent.target {
+            Target::Server(target) => target.entry.id == entry.id,
             Target::Host { domain, .. } => *domain == entry.domain,
         });
-        pending || self.ran.contains(&entry.id) || self.ran_in.contains(&entry.domain)
+        pending
+            || self.may_have_run.contains(&entry.id)
+            || self.may_have_run_in.contains(&entry.domain)
     }
 }
--- a/crates/lentillift-scatter/src/query.rs
+++ b/crates/lentillift-scatter/src/query.rs
@@ -1,23 +1,24 @@
-//! One request from its arrival to its answer.
+//! State machine of one request, from its arrival to its answer.
 //!
-//! Patterns it answers:
+//! Failures that it handles:
 //!
 //! - A search over twenty shards meets a paused backend server in every second case. Each shard's
-//!   part is asked for again at another replica as soon as it takes longer than most do; the budget
-//!   bounds how often.
-//! - A part that is still missing when the answer has to leave to arrive in time is left out, if the
-//!   caller accepts an answer without it: an answer that is late is worth little to its caller,
-//!   and one that lacks a shard in twenty is worth most of the whole. The answer says what it lacks.
-//! - Shards without a replica in this failure domain are asked for through one host in a failure
-//!   domain that has them. It merges, so that one small reply crosses in place of twenty.
-//! - A request that nobody can serve is refused at once.
-//! - A request under which servers end, with no reply of any, goes to one server at a time, see
-//!   [`lentillift_fleet::quarantine`].
-
-mod again;
-mod doubt;
+//!   part is requested from another replica as soon as it takes longer than most do; the budget
+//!   limits how often.
+//! - A part that is still missing when the answer has to be sent is left out, if the caller accepts
+//!   an answer without it: a late answer is worth little to its caller, and one that lacks a shard
+//!   in twenty is worth nearly as much as a complete one. The answer says what it lacks.
+//! - Shards without a replica in this failure domain are requested through one host of a failure
+//!   domain that has them. It merges their parts, so one small reply crosses domains instead of
+//!   twenty.
+//! - A request that no backend server can serve is refused at once.
+//! - A request during which servers end, without a reply from any, is sent to one server at a time,
+//!   see [`lentillift_fleet::quarantine`].
+
 mod ended;
-mod first;
+mod first_sends;
+mod retry;
+mod suspect;
 
 use crate::core::Core;
 use crate::leg::Leg;
@@ -25,24 +26,24 @@
 use crate::outcome::Next;
 use crate::outcome::Send;
 use crate::plan::Plan;
-use crate::replica::Number;
+use crate::replica::SendId;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::quarantine::Admission;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A send to another host.
+/// A branch: a send to another host for several legs.
 #[derive(Debug)]
 struct Branch {
     host: id::Host,
     domain: id::Domain,
-    /// Legs of which nothing was heard.
+    /// Legs that the host has not reported on.
     legs: Vec<usize>,
-    /// When it should tell for the first time what it has.
-    first: Time,
-    /// Whether it has told anything.
-    told: bool,
+    /// When the host's first update is due.
+    first_update_due: Time,
+    /// Whether the host has sent the update that was due.
+    has_reported: bool,
 }
 
 impl Branch {
@@ -51,16 +52,17 @@
             host,
             domain: domain.clone(),
             legs,
-            first: Time::ZERO,
-            told: false,
+            first_update_due: Time::ZERO,
+            has_reported: false,
         }
     }
 
-    /// Notes how long its first word took, if it was told when it was due rather than as soon as all
-    /// was there.
-    fn arrived(&self, core: &mut Core, now: Time) {
-        if !self.told && now >= self.first {
-            core.hosts.arrived(now.saturating_sub(self.first));
+    /// Measures the delay of the first update, if it was sent because it was due rather than
+    /// because all parts were complete earlier.
+    fn note_reply_delay(&self, core: &mut Core, now: Time) {
+        if !self.has_reported && now >= self.first_update_due {
+            core.hosts
+                .note_reply_delay(now.saturating_sub(self.first_update_due));
         }
     }
 }
@@ -70,21 +72,21 @@
 pub struct Query {
     plan: Plan,
     legs: Vec<Leg>,
-    /// Sends to other hosts that have not ended.
-    branches: BTreeMap<Number, Branch>,
-    /// Sends that were made as repeats.
+    /// Branches that have not ended.
+    branches: BTreeMap<SendId, Branch>,
+    /// Number of sends that were made as repeats.
     repeats: u32,
-    /// Repeats that the budget did not allow.
-    unpaid: u32,
+    /// Number of repeats that the budget denied.
+    repeats_denied: u32,
     rejections: usize,
     /// Whether it is the canary of a quarantined request.
-    trial: bool,
-    /// Time for which its request is quarantined, once it is.
+    is_quarantine_canary: bool,
+    /// Remaining time of the quarantine, if its request was refused for it.
     quarantined: Option<Duration>,
 }
 
 impl Query {
-    /// Starts; says what to send.
+    /// Starts the request; returns the first sends.
     pub fn start(core: &mut Core, plan: Plan, now: Time) -> (Self, Vec<Send>) {
         let legs = plan.services.iter().cloned().map(Leg::new).collect();
         let mut query = Self {
@@ -92,9 +94,9 @@
             legs,
             branches: BTreeMap::new(),
             repeats: 0,
-            unpaid: 0,
+            repeats_denied: 0,
             rejections: 0,
-            trial: false,
+            is_quarantine_canary: false,
             quarantined: None,
         };
         let admission = query.admit(core, now);
@@ -104,29 +106,29 @@
         }
         let choices = query.choices(core, now);
         let reachable = choices.iter().flatten().count();
-        if !query.suffices(reachable) {
+        if !query.is_sufficient(reachable) {
             return (query, Vec::new());
         }
         let sends = match admission {
             Admission::Canary => query.first_canary(core, choices, now),
-            _ => query.first(core, choices, now),
+            _ => query.first_sends(core, choices, now),
         };
         (query, sends)
     }
 
-    /// The plan.
+    /// Returns the plan of the request.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Sends that were made as repeats.
+    /// Returns the number of sends that were made as repeats.
     pub fn repeats(&self) -> u32 {
         self.repeats
     }
 
-    /// Repeats that the budget did not allow.
-    pub fn unpaid(&self) -> u32 {
-        self.unpaid
+    /// Returns the number of repeats that the budget denied.
+    pub fn repeats_denied(&self) -> u32 {
+        self.repeats_denied
     }
 
     /// Whether its request is quarantined.
@@ -134,18 +136,19 @@
         self.quarantined.is_some()
     }
 
-    /// The service of a leg.
+    /// Returns the service of a leg; none if there is no such leg.
     pub fn service(&self, leg: usize) -> Option<&id::Service> {
         self.legs.get(leg).map(|leg| &leg.service)
     }
 
-    /// The legs whose part is not here.
+    /// Iterates over the legs whose part is missing.
     pub fn missing(&self) -> impl Iterator<Item = &Leg> {
         self.legs.iter().filter(|leg| leg.done.is_none())
     }
 
-    fn suffices(&self, parts: usize) -> bool {
-        match self.plan.coverage {
+    /// Whether this number of parts makes an answer that the caller accepts.
+    fn is_sufficient(&self, parts: usize) -> bool {
+        match self.plan.min_coverage {
             Some(least) => {
                 let share = parts as f64 / self.legs.len().max(1) as f64;
                 parts > 0 && share >= least
@@ -154,63 +157,69 @@
         }
     }
 
-    /// Says what to do next.
+    /// Returns what to do next.
     pub fn next(&self, now: Time) -> Next {
         let done = self.legs.iter().filter(|leg| leg.done.is_some()).count();
         let lost = self.legs.iter().filter(|leg| leg.is_lost()).count();
-        let over = now >= self.plan.deadline;
+        let is_expired = now >= self.plan.deadline;
         if let Some(left) = self.quarantined {
-            return self.give_up(left);
+            return self.quarantine_result(left);
         }
         let settled = done + lost == self.legs.len();
-        let hopeless = !self.suffices(self.legs.len() - lost);
-        if self.suffices(done) && (settled || over || now >= self.plan.soft) {
+        let hopeless = !self.is_sufficient(self.legs.len() - lost);
+        if self.is_sufficient(done) && (settled || is_expired || now >= self.plan.soft_deadline) {
             return self.answer();
         }
-        if settled || over || hopeless {
-            return self.verdict(over);
+        if settled || is_expired || hopeless {
+            return self.failure(is_expired);
         }
-        Next::Wait(self.due(now))
+        Next::Wait(self.next_wakeup(now))
     }
 
-    /// When to look again if no send ends before.
-    pub fn due(&self, now: Time) -> Time {
+    /// Returns when to call [`Query::tick`] if no send ends before.
+    pub fn next_wakeup(&self, now: Time) -> Time {
         let hedges = self.legs.iter().filter(|leg| leg.done.is_none());
         let hedges = hedges.filter_map(|leg| leg.hedge_at);
-        let soft = Some(self.plan.soft).filter(|soft| *soft > now);
-        let due = hedges.chain(soft).min().unwrap_or(self.plan.deadline);
+        let soft_deadline =
+            Some(self.plan.soft_deadline).filter(|soft_deadline| *soft_deadline > now);
+        let due = hedges
+            .chain(soft_deadline)
+            .min()
+            .unwrap_or(self.plan.deadline);
         due.min(self.plan.deadline)
     }
 
-    /// How far each leg has come.
+    /// Iterates over the progress of all legs.
     pub fn states(&self) -> impl Iterator<Item = State> {
         self.legs.iter().map(Leg::state)
     }
 
+    /// Returns the answer made of the parts that are here.
     fn answer(&self) -> Next {
-        let mut sends: Vec<Number> = self.legs.iter().filter_map(|leg| leg.done).collect();
+        let mut sends: Vec<SendId> = self.legs.iter().filter_map(|leg| leg.done).collect();
         let missing = self.legs.len() - sends.len();
         sends.sort_unstable();
         sends.dedup();
         Next::Answer { sends, missing }
     }
 
-    fn verdict(&self, over: bool) -> Next {
+    /// Returns the result of a request without a sufficient answer.
+    fn failure(&self, is_expired: bool) -> Next {
         if let [leg] = self.legs.as_slice()
-            && let Some(number) = leg.failed
+            && let Some(send_id) = leg.failed
         {
-            return Next::Pass(number);
+            return Next::Pass(send_id);
         }
-        let untouched = self.legs.iter().all(Leg::is_untouched);
-        match (untouched, over) {
+        let not_run = self.legs.iter().all(Leg::cannot_have_run);
+        match (not_run, is_expired) {
             (true, _) => Next::Refuse(self.retry_after()),
             (false, true) => Next::Timeout,
             (false, false) => Next::Fail,
         }
     }
 
-    /// When a caller that is refused should come back: after half an objective, when a pause or a
-    /// short queue has passed.
+    /// Returns the time after which a refused caller should retry: half an objective, by when a pause
+    /// or a short queue has passed.
     fn retry_after(&self) -> Duration {
         self.plan.route.objective / 2
     }
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -1,9 +1,9 @@
-//! Hosts under a search that ends servers and others that are merely there, in virtual time.
+//! Hosts that serve a search which ends servers together with harmless ones, in virtual time.
 
 mod common;
 
 use common::MS;
-use common::NOON;
+use common::START;
 use common::fingerprint;
 use common::options;
 use common::route;
@@ -23,7 +23,7 @@
 use lentillift_scatter::outcome::Send;
 use lentillift_scatter::plan::Plan;
 use lentillift_scatter::query::Query;
-use lentillift_scatter::replica::Number;
+use lentillift_scatter::replica::SendId;
 use lentillift_scatter::share::Place;
 use lentillift_scatter::share::Share;
 use rand::Rng;
@@ -37,17 +37,18 @@
 const SHARDS: usize = 8;
 const HOSTS: usize = 4;
 const LENGTH: Duration = Duration::from_secs(12);
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time until a server that ended is back.
-const REST: Duration = Duration::from_secs(1);
+/// Time until a server that ended is up again.
+const RESTART_TIME: Duration = Duration::from_secs(1);
 
-/// Pause between two attempts of the search that ends servers.
+/// Time between two attempts of the search that ends servers.
 const FATAL_PAUSE: Duration = Duration::from_millis(200);
 
-/// Time within which all hosts should know, and attempts that may reach servers afterwards.
+/// Time within which all hosts should know, and the number of attempts that may reach servers after
+/// it.
 const BOUND: Duration = Duration::from_secs(4);
-const MOST_ATTEMPTS: usize = 3;
+const MAX_LATE_ATTEMPTS: usize = 3;
 
 const FATAL: &str = "/fatal";
 const POPULAR: &str = "/popular";
@@ -60,16 +61,16 @@
         host: usize,
         path: String,
     },
-    /// A server has a reply for an attempt.
+    /// A server has finished its reply to a send.
     Reply {
         attempt: Attempt,
-        number: Number,
+        send_id: SendId,
         server: String,
     },
-    /// A send comes to its end.
+    /// A send ends.
     Outcome {
         attempt: Attempt,
-        number: Number,
+        send_id: SendId,
         outcome: Outcome,
     },
     /// A server's process ends.
@@ -80,7 +81,7 @@
     Tick {
         attempt: Attempt,
     },
-    Hear {
+    Gossip {
         host: usize,
         accounts: Vec<Account>,
     },
@@ -88,11 +89,11 @@
 
 #[derive(Debug, Default)]
 struct Server {
-    /// Rises with each end.
+    /// Incremented each time the server ends.
     process: u64,
     up_at: Time,
-    /// Sends that it has.
-    has: Vec<(Attempt, Number)>,
+    /// Sends in progress.
+    in_progress: Vec<(Attempt, SendId)>,
 }
 
 struct World {
@@ -102,14 +103,14 @@
     route: Arc<Route>,
     servers: HashMap<String, Server>,
     queries: HashMap<Attempt, (usize, String, Query)>,
-    /// When each attempt is looked at next.
+    /// When each attempt is checked next.
     ticks: HashMap<Attempt, Time>,
     events: BTreeMap<(Time, u64), Event>,
     next: u64,
     ends: Vec<Time>,
-    /// When attempts of the search that ends servers reached one.
+    /// Last time at which each attempt of the search that ends servers reached one.
     reached: BTreeMap<Attempt, Time>,
-    /// Others that were refused for what is held of them.
+    /// Harmless searches that were refused by the quarantine.
     refused: Vec<String>,
     answered: usize,
 }
@@ -139,7 +140,7 @@
         let names = servers.iter().map(|server| server.entry.id.to_string());
         Self {
             rng: StdRng::seed_from_u64(seed),
-            now: NOON,
+            now: START,
             hosts: hosts.collect(),
             servers: names.map(|name| (name, Server::default())).collect(),
             route: Arc::new(route),
@@ -154,18 +155,18 @@
         }
     }
 
-    fn at(&mut self, time: Time, event: Event) {
+    fn schedule(&mut self, time: Time, event: Event) {
         self.next += 1;
         self.events.insert((time, self.next), event);
     }
 
     fn run(&mut self) {
         while let Some(((time, _), event)) = self.events.pop_first() {
-            if time > NOON + LENGTH {
+            if time > START + LENGTH {
                 return;
             }
             self.now = time;
-            self.take(event);
+            self.handle(event);
             for host in 0..HOSTS {
                 let verdict = self.hosts[host].verdict(Some(fingerprint(POPULAR)), time);
                 assert!(!matches!(verdict, Verdict::Quarantined(_)), "at {time:?}");
@@ -173,35 +174,38 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { host, path } => self.arrive(host, path),
             Event::Reply {
                 attempt,
-                number,
+                send_id,
                 server,
             } => {
-                let has = &mut self.servers.get_mut(&server).expect("a server").has;
-                if let Some(place) = has.iter().position(|sent| *sent == (attempt, number)) {
-                    has.remove(place);
+                let in_progress = &mut self.servers.get_mut(&server).expect("a server").in_progress;
+                if let Some(place) = in_progress
+                    .iter()
+                    .position(|sent| *sent == (attempt, send_id))
+                {
+                    in_progress.remove(place);
                     let load = None;
-                    self.ended(attempt, number, Outcome::Part { load });
+                    self.ended(attempt, send_id, Outcome::Part { load });
                 }
             }
             Event::Outcome {
                 attempt,
-                number,
+                send_id,
                 outcome,
-            } => self.ended(attempt, number, outcome),
+            } => self.ended(attempt, send_id, outcome),
             Event::End { server, process } => self.end(&server, process),
             Event::Tick { attempt } => {
                 if self.ticks.get(&attempt) == Some(&self.now) {
                     self.step(attempt, |query, core, now| query.tick(core, now));
                 }
             }
-            Event::Hear { host, accounts } => {
+            Event::Gossip { host, accounts } => {
                 let now = self.now;
-                self.hosts[host].hear(&accounts, now);
+                self.hosts[host].merge_quarantine(&accounts, now);
                 self.gossip(host);
             }
         }
@@ -219,20 +223,21 @@
             &view,
             services,
             self.now,
-            PATIENCE,
+            CALLER_TIMEOUT,
         );
-        let (query, sends) = Query::start(core, plan.with(fingerprint(&path)), self.now);
+        let (query, sends) =
+            Query::start(core, plan.with_fingerprint(fingerprint(&path)), self.now);
         self.next += 1;
         let attempt = self.next as Attempt;
         self.queries.insert(attempt, (host, path, query));
         self.launch(attempt, sends);
-        self.look(attempt);
+        self.check(attempt);
         self.gossip(host);
     }
 
-    fn ended(&mut self, attempt: Attempt, number: Number, outcome: Outcome) {
+    fn ended(&mut self, attempt: Attempt, send_id: SendId, outcome: Outcome) {
         self.step(attempt, |query, core, now| {
-            query.ended(core, now, number, outcome)
+            query.ended(core, now, send_id, outcome)
         });
     }
 
@@ -246,7 +251,7 @@
         let host = *host;
         let sends = change(query, &mut self.hosts[host], self.now);
         self.launch(attempt, sends);
-        self.look(attempt);
+        self.check(attempt);
         self.gossip(host);
     }
 
@@ -256,29 +261,29 @@
             let Target::Server(server) = &send.target else {
                 panic!("no hosts are asked here");
             };
-            let number = send.number;
+            let send_id = send.id;
             let name = server.entry.id.to_string();
             let arrives = self.now + MS;
             let known = self.servers.get_mut(&name).expect("a server");
             if arrives < known.up_at {
                 let outcome = Outcome::Unreachable;
-                self.at(
+                self.schedule(
                     arrives,
                     Event::Outcome {
                         attempt,
-                        number,
+                        send_id,
                         outcome,
                     },
                 );
                 continue;
             }
-            known.has.push((attempt, number));
+            known.in_progress.push((attempt, send_id));
             let process = known.process;
             let work = self.rng.random_range(MS * 5..MS * 15);
             if is_fatal {
                 self.reached.insert(attempt, arrives);
                 let until_end = self.rng.random_range(MS * 5..MS * 60);
-                self.at(
+                self.schedule(
                     arrives + until_end,
                     Event::End {
                         server: name,
@@ -287,11 +292,11 @@
                 );
             } else {
                 let server = name;
-                self.at(
+                self.schedule(
                     arrives + work,
                     Event::Reply {
                         attempt,
-                        number,
+                        send_id,
                         server,
                     },
                 );
@@ -305,29 +310,29 @@
             return;
         }
         server.process += 1;
-        server.up_at = self.now + REST;
+        server.up_at = self.now + RESTART_TIME;
         self.ends.push(self.now);
-        for (attempt, number) in std::mem::take(&mut server.has) {
+        for (attempt, send_id) in std::mem::take(&mut server.in_progress) {
             let outcome = Outcome::ServerEnded;
-            self.at(
+            self.schedule(
                 self.now + MS,
                 Event::Outcome {
                     attempt,
-                    number,
+                    send_id,
                     outcome,
                 },
             );
         }
     }
 
-    /// Looks at what an attempt wants next.
-    fn look(&mut self, attempt: Attempt) {
+    /// Checks what an attempt does next.
+    fn check(&mut self, attempt: Attempt) {
         let (_, path, query) = &self.queries[&attempt];
         match query.next(self.now) {
             Next::Wait(until) => {
                 let until = until.max(self.now + MS / 2);
                 self.ticks.insert(attempt, until);
-                self.at(until, Event::Tick { attempt });
+                self.schedule(until, Event::Tick { attempt });
                 return;
             }
             Next::Quarantine(_) if path != FATAL => self.refused.push(path.clone()),
@@ -345,23 +350,23 @@
         }
         let accounts = self.hosts[from].quarantine.news(self.now);
         for host in (0..HOSTS).filter(|host| *host != from) {
-            let way = self.rng.random_range(MS * 5..MS * 30);
+            let transit = self.rng.random_range(MS * 5..MS * 30);
             let accounts = accounts.clone();
-            self.at(self.now + way, Event::Hear { host, accounts });
+            self.schedule(self.now + transit, Event::Gossip { host, accounts });
         }
     }
 }
 
-/// Everybody searches for the same name while another search ends servers again and again. Each time some are
-/// in flight at servers that end; held for what ends them, the search that most callers want would be
-/// refused for minutes.
+/// Most callers send the same search while another search ends servers again and again. Each time,
+/// some of the popular searches are in flight at servers that end. If it were blamed for this, the
+/// search that most callers want would be refused for minutes.
 #[test]
 fn a_popular_search_is_served_beside_one_that_ends_servers() {
     for seed in 0..40 {
         let mut world = World::new(seed);
-        let mut time = NOON;
+        let mut time = START;
         let mut unique = 0;
-        while time < NOON + LENGTH {
+        while time < START + LENGTH {
             time += world.rng.random_range(MS * 3..MS * 15);
             let host = world.rng.random_range(0..HOSTS);
             unique += 1;
@@ -369,13 +374,13 @@
                 true => POPULAR.to_owned(),
                 false => format!("/{unique}"),
             };
-            world.at(time, Event::Arrive { host, path });
+            world.schedule(time, Event::Arrive { host, path });
         }
-        let mut time = NOON + Duration::from_secs(1);
+        let mut time = START + Duration::from_secs(1);
         let mut host = 0;
-        while time < NOON + LENGTH {
+        while time < START + LENGTH {
             let path = FATAL.to_owned();
-            world.at(time, Event::Arrive { host, path });
+            world.schedule(time, Event::Arrive { host, path });
             host = (host + 1) % HOSTS;
             time += FATAL_PAUSE;
         }
@@ -384,7 +389,10 @@
         let third = world.ends[2];
         let late = world.reached.values().filter(|at| **at > third + BOUND);
         let late = late.count();
-        assert!(late <= MOST_ATTEMPTS, "seed {seed}: {late} late attempts");
+        assert!(
+            late <= MAX_LATE_ATTEMPTS,
+            "seed {seed}: {late} late attempts"
+        );
         assert!(world.answered > 1000, "seed {seed}: {}", world.answered);
     }
 }
--- a/crates/lentillift-scatter/tests/common/mod.rs
+++ b/crates/lentillift-scatter/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A small published state, for the tests of decisions.
+//! A small published state and other fixtures.
 
 #![allow(dead_code, unreachable_pub)]
 
-pub mod story;
+pub mod simulation;
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::id::Service as Name;
@@ -33,8 +33,8 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 
-/// A time long after the start, when shares are settled.
-pub const NOON: Time = Duration::from_secs(1000);
+/// Start time of the tests, long after the process start, so that shares are settled.
+pub const START: Time = Duration::from_secs(1000);
 
 pub const LIMITS: Limits = Limits {
     head_bytes: 16384,
@@ -96,7 +96,7 @@
         slots: 2,
         stage: Stage::Ready,
         cold_for: Duration::ZERO,
-        born: 1,
+        process_start_ms: 1,
     }
 }
 
@@ -143,12 +143,13 @@
     core
 }
 
-/// The content of a request for `path`.
+/// The fingerprint of a request for `path`.
 pub fn fingerprint(path: &str) -> Fingerprint {
     Fingerprint::of("GET", "search.example", path, &[])
 }
 
-/// A plan for a request that arrives at noon on a connection of `caller`, by the latest picture.
+/// A plan for a request that arrives at [`START`] on a connection of `caller`, under the latest
+/// view.
 pub fn plan(
     core: &mut Core,
     caller: &mut Caller,
@@ -157,6 +158,6 @@
     left: Duration,
 ) -> Plan {
     let view = core.view.clone().expect("a view");
-    let plan = Plan::new(core, caller, route, &view, services, NOON, left);
-    plan.with(fingerprint("/q/x"))
+    let plan = Plan::new(core, caller, route, &view, services, START, left);
+    plan.with_fingerprint(fingerprint("/q/x"))
 }
