--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -91,8 +91,8 @@
     let options = Policy::default().admission;
     for callers in [10_u32, 1000] {
         let mut admission = Admission::default();
-        let asks: Vec<admission::Ask> = (0..callers)
-            .map(|n| admission::Ask {
+        let asks: Vec<admission::Request> = (0..callers)
+            .map(|n| admission::Request {
                 rank: 0,
                 caller: n.to_string().into(),
                 weight: 1,
--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -345,7 +345,7 @@
     fn admit(&mut self, now: Time, query: &Query) -> Result<(), Refusal> {
         let config = self.view.values.config.as_ref();
         let caller = config.and_then(|config| config.callers.get(&query.ask.caller));
-        let ask = admission::Ask {
+        let ask = admission::Request {
             rank: query.rank,
             caller: query.ask.caller.clone(),
             weight: caller.map_or(1, |caller| caller.weight),
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -38,7 +38,7 @@
 
 /// A query that asks to be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Rank of its class; 0 is refused last.
     pub rank: u8,
     /// Its caller.
@@ -110,7 +110,7 @@
 
 impl Admission {
     /// Says what to do about a query.
-    pub fn next(&mut self, options: &Options, now: Time, ask: &Ask) -> Next {
+    pub fn next(&mut self, options: &Options, now: Time, ask: &Request) -> Next {
         self.turn(options, now);
         let cost = f64::from(ask.cost.max(1));
         let over = self.is_over_share(now, ask, cost);
@@ -151,7 +151,7 @@
     }
 
     /// Whether a caller has used more than its share of the rate lately.
-    fn is_over_share(&self, now: Time, ask: &Ask, cost: f64) -> bool {
+    fn is_over_share(&self, now: Time, ask: &Request, cost: f64) -> bool {
         let Some(gate) = &self.gate else {
             return false;
         };
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -232,7 +232,7 @@
     fn gate_opens_after_an_overload(windows in 1_u64..40, rate in 1_u64..50) {
         let options = Policy::default().admission;
         let mut admission = Admission::default();
-        let ask = admission::Ask { rank: 2, caller: caller(0), weight: 1, cost: 68 };
+        let ask = admission::Request { rank: 2, caller: caller(0), weight: 1, cost: 68 };
         let mut now = Time::ZERO;
         for _ in 0..windows * rate {
             admission.next(&options, now, &ask);
