--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -106,7 +106,7 @@
                 at = (at + 1) % asks.len();
                 now += Duration::from_micros(100);
                 let next = admission.next(&options, now, &asks[at]);
-                let done = admission::Done {
+                let done = admission::Completion {
                     rank: 0,
                     answered: 34,
                     refused: true,
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -277,10 +277,10 @@
 }
 
 /// What a query that has ended tells the admission.
-fn done(query: &Query) -> admission::Done {
+fn done(query: &Query) -> admission::Completion {
     let states = query.states.iter();
     let refused = |state: &State| matches!(state, State::Missing(reason) if is_load(*reason));
-    admission::Done {
+    admission::Completion {
         rank: query.rank,
         answered: states.filter(|s| matches!(s, State::Answered(_))).count() as u32,
         refused: query.states.iter().any(refused),
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -51,7 +51,7 @@
 
 /// What became of a query that was taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Done {
+pub struct Completion {
     /// Rank of its class.
     pub rank: u8,
     /// Shards that answered.
@@ -133,7 +133,7 @@
     }
 
     /// Takes in what became of a query that was taken.
-    pub fn done(&mut self, options: &Options, now: Time, done: &Done) {
+    pub fn done(&mut self, options: &Options, now: Time, done: &Completion) {
         self.turn(options, now);
         let window = &mut self.window;
         window.queries += 1;
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -236,7 +236,7 @@
         let mut now = Time::ZERO;
         for _ in 0..windows * rate {
             admission.next(&options, now, &ask);
-            let done = admission::Done { rank: 2, answered: 30, refused: true };
+            let done = admission::Completion { rank: 2, answered: 30, refused: true };
             admission.done(&options, now, &done);
             now += Duration::from_millis(100) / rate as u32;
         }
