--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -353,8 +353,8 @@
         };
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         match pace.admission.next(&self.policy.admission, now, &ask) {
-            admission::Next::Take => Ok(()),
-            admission::Next::Refuse { retry_after } => {
+            admission::Decision::Take => Ok(()),
+            admission::Decision::Refuse { retry_after } => {
                 self.counts.add("lentillift_admission_refused_total");
                 let detail = "more is asked than the service can answer in time";
                 Err(Refusal::new(Cause::Overload, detail).retry_after(retry_after))
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -62,7 +62,7 @@
 
 /// What to do about a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Take it.
     Take,
     /// Refuse it.
@@ -110,7 +110,7 @@
 
 impl Admission {
     /// Says what to do about a query.
-    pub fn next(&mut self, options: &Options, now: Time, ask: &Request) -> Next {
+    pub fn next(&mut self, options: &Options, now: Time, ask: &Request) -> Decision {
         self.turn(options, now);
         let cost = f64::from(ask.cost.max(1));
         let over = self.is_over_share(now, ask, cost);
@@ -121,7 +121,7 @@
             let floor = gate.floor(ask.rank, over) * depth;
             if gate.tokens - cost < floor {
                 let missing = floor + cost - gate.tokens;
-                return Next::Refuse {
+                return Decision::Refuse {
                     retry_after: come_back(missing / gate.rate),
                 };
             }
@@ -129,7 +129,7 @@
         }
         self.window.taken += cost;
         self.shares.note(now, &ask.caller, ask.weight, cost);
-        Next::Take
+        Decision::Take
     }
 
     /// Takes in what became of a query that was taken.
