--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -105,7 +105,7 @@
             b.iter(|| {
                 at = (at + 1) % asks.len();
                 now += Duration::from_micros(100);
-                let next = admission.next(&options, now, &asks[at]);
+                let next = admission.decide(&options, now, &asks[at]);
                 let done = admission::Completion {
                     rank: 0,
                     answered: 34,
--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -352,7 +352,7 @@
             cost: query.map.parts.len() as u32,
         };
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        match pace.admission.next(&self.policy.admission, now, &ask) {
+        match pace.admission.decide(&self.policy.admission, now, &ask) {
             admission::Decision::Take => Ok(()),
             admission::Decision::Refuse { retry_after } => {
                 self.counts.add("lentillift_admission_refused_total");
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -110,7 +110,7 @@
 
 impl Admission {
     /// Says what to do about a query.
-    pub fn next(&mut self, options: &Options, now: Time, ask: &Request) -> Decision {
+    pub fn decide(&mut self, options: &Options, now: Time, ask: &Request) -> Decision {
         self.turn(options, now);
         let cost = f64::from(ask.cost.max(1));
         let over = self.is_over_share(now, ask, cost);
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -235,14 +235,14 @@
         let ask = admission::Request { rank: 2, caller: caller(0), weight: 1, cost: 68 };
         let mut now = Time::ZERO;
         for _ in 0..windows * rate {
-            admission.next(&options, now, &ask);
+            admission.decide(&options, now, &ask);
             let done = admission::Completion { rank: 2, answered: 30, refused: true };
             admission.done(&options, now, &done);
             now += Duration::from_millis(100) / rate as u32;
         }
         for _ in 0..150 {
             now += Duration::from_millis(100);
-            admission.next(&options, now, &ask);
+            admission.decide(&options, now, &ask);
         }
         prop_assert!(!admission.is_gated());
     }
