--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -111,7 +111,7 @@
                     answered: 34,
                     refused: true,
                 };
-                admission.done(&options, now, &done);
+                admission.record_completion(&options, now, &done);
                 next
             });
         });
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -262,7 +262,8 @@
         self.runs.close(&key(&query), run);
         let done = done(&query);
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        pace.admission.done(&self.policy.admission, now, &done);
+        pace.admission
+            .record_completion(&self.policy.admission, now, &done);
         cancel(self.flights.remove_run(run))
     }
 }
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -133,7 +133,7 @@
     }
 
     /// Takes in what became of a query that was taken.
-    pub fn done(&mut self, options: &Options, now: Time, done: &Completion) {
+    pub fn record_completion(&mut self, options: &Options, now: Time, done: &Completion) {
         self.turn(options, now);
         let window = &mut self.window;
         window.queries += 1;
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -237,7 +237,7 @@
         for _ in 0..windows * rate {
             admission.decide(&options, now, &ask);
             let done = admission::Completion { rank: 2, answered: 30, refused: true };
-            admission.done(&options, now, &done);
+            admission.record_completion(&options, now, &done);
             now += Duration::from_millis(100) / rate as u32;
         }
         for _ in 0..150 {
