--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -228,7 +228,7 @@
             let detail = format!("reached {}, asked for at least {least}", answer.coverage);
             let mut refusal = Refusal::new(Cause::Coverage, detail).outcome(query.outcome());
             if answer.coverage.missing.iter().any(|m| is_load(m.reason)) {
-                refusal = refusal.retry_after(admission::COME_BACK.0);
+                refusal = refusal.retry_after(admission::RETRY_AFTER_BOUNDS.0);
             }
             Effect::Refuse { request, refusal }
         } else {
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -34,7 +34,8 @@
 const DEEPEST_FLOOR: f64 = 4.0;
 
 /// Bounds of the time after which a refused caller may come back.
-pub const COME_BACK: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+pub const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(5));
 
 /// A query that asks to be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -240,6 +241,6 @@
 }
 
 fn come_back(seconds: f64) -> Duration {
-    let after = Duration::try_from_secs_f64(seconds).unwrap_or(COME_BACK.1);
-    after.clamp(COME_BACK.0, COME_BACK.1)
+    let after = Duration::try_from_secs_f64(seconds).unwrap_or(RETRY_AFTER_BOUNDS.1);
+    after.clamp(RETRY_AFTER_BOUNDS.0, RETRY_AFTER_BOUNDS.1)
 }
