--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -77,7 +77,7 @@
                 at = (at + 7) % (names.len() - 1);
                 let candidate = |backend| Candidate {
                     backend,
-                    near: false,
+                    same_domain: false,
                 };
                 let two = [candidate(&names[at]), candidate(&names[at + 1])];
                 let chosen = loads.choose(&options, NOW, &mut rng, &two).cloned();
--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -104,7 +104,8 @@
         let candidates: Vec<Candidate<'_>> = usable
             .map(|backend| Candidate {
                 backend,
-                near: self.domain.as_ref() == view.backends.get(backend).map(|b| &b.server.domain),
+                same_domain: self.domain.as_ref()
+                    == view.backends.get(backend).map(|b| &b.server.domain),
             })
             .collect();
         let options = &self.policy.choice;
--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -35,7 +35,7 @@
     /// The backend server.
     pub backend: &'a id::Backend,
     /// Whether it is in the failure domain of this process.
-    pub near: bool,
+    pub same_domain: bool,
 }
 
 /// What is known of one backend server.
@@ -148,7 +148,7 @@
         let second = others[rng.random_range(0..others.len())];
         let score = |candidate: &Candidate<'_>| {
             let expected = self.expected(options, now, candidate.backend);
-            match candidate.near {
+            match candidate.same_domain {
                 true => expected,
                 false => expected * (100 + options.domain_percent) / 100,
             }
