--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -68,7 +68,7 @@
         let mut loads = Loads::default();
         let names: Vec<id::Backend> = (0..2 * shards).map(|n| format!("b{n}").into()).collect();
         for name in &names {
-            loads.note(NOW, name, load());
+            loads.record(NOW, name, load());
         }
         let mut rng = StdRng::seed_from_u64(1);
         let mut at = 0;
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -37,7 +37,7 @@
             return Vec::new();
         };
         if let Some(load) = load {
-            self.loads.note(now, &flight.backend, load);
+            self.loads.record(now, &flight.backend, load);
         }
         let mut effects = match result {
             sub::Result::Hits(hits) => self.answered(now, &flight, hits),
--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -59,7 +59,7 @@
     pub const BYTES: usize = size_of::<(id::Backend, Known)>();
 
     /// Takes in what an owner tells of a backend server.
-    pub fn note(&mut self, now: Time, backend: &id::Backend, load: Load) {
+    pub fn record(&mut self, now: Time, backend: &id::Backend, load: Load) {
         let known = Known {
             load,
             at: Some(now),
