--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -81,7 +81,7 @@
                 };
                 let two = [candidate(&names[at]), candidate(&names[at + 1])];
                 let chosen = loads.choose(&options, NOW, &mut rng, &two).cloned();
-                loads.sent(chosen.as_ref().unwrap_or(&names[0]));
+                loads.record_sent(chosen.as_ref().unwrap_or(&names[0]));
             });
         });
     }
--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -138,7 +138,7 @@
             body: query.ask.body.clone(),
             hedge,
         };
-        self.loads.sent(&backend);
+        self.loads.record_sent(&backend);
         let flight = Flight {
             run,
             position,
--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -69,7 +69,7 @@
     }
 
     /// Notes that a sub-request was sent to a backend server.
-    pub fn sent(&mut self, backend: &id::Backend) {
+    pub fn record_sent(&mut self, backend: &id::Backend) {
         if let Some(known) = self.known.get_mut(backend) {
             known.sent = known.sent.saturating_add(1);
         } else {
