--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -107,7 +107,7 @@
     }
 
     /// Time until a further sub-request to `backend` would be answered.
-    pub fn expected(&self, options: &Options, now: Time, backend: &str) -> Duration {
+    pub fn expected_latency(&self, options: &Options, now: Time, backend: &str) -> Duration {
         let Some(known) = self.known.get(backend) else {
             return GUESS;
         };
@@ -147,7 +147,7 @@
         let others: Vec<_> = candidates.iter().filter(|c| *c != first).collect();
         let second = others[rng.random_range(0..others.len())];
         let score = |candidate: &Candidate<'_>| {
-            let expected = self.expected(options, now, candidate.backend);
+            let expected = self.expected_latency(options, now, candidate.backend);
             match candidate.same_domain {
                 true => expected,
                 false => expected * (100 + options.domain_percent) / 100,
