--- a/crates/lentillift-entry/examples/sizes.rs
+++ b/crates/lentillift-entry/examples/sizes.rs
@@ -10,7 +10,7 @@
 
 fn main() {
     println!("owner, each backend server: {}", size_of::<Server>());
-    println!("entry, each backend server: {}", Loads::BYTES);
+    println!("entry, each backend server: {}", Loads::BYTES_PER_BACKEND);
     println!("each caller lately served: {}", Shares::BYTES);
     println!("entry, each service: admission {}", size_of::<Admission>());
     println!("entry, each service: hedges {}", size_of::<Hedge>());
--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -56,7 +56,7 @@
 
 impl Loads {
     /// Bytes that a backend server takes, its name's pointer included.
-    pub const BYTES: usize = size_of::<(id::Backend, Known)>();
+    pub const BYTES_PER_BACKEND: usize = size_of::<(id::Backend, Known)>();
 
     /// Takes in what an owner tells of a backend server.
     pub fn record(&mut self, now: Time, backend: &id::Backend, load: Load) {
