--- a/crates/lentillift-entry/examples/sizes.rs
+++ b/crates/lentillift-entry/examples/sizes.rs
@@ -11,7 +11,7 @@
 fn main() {
     println!("owner, each backend server: {}", size_of::<Server>());
     println!("entry, each backend server: {}", Loads::BYTES_PER_BACKEND);
-    println!("each caller lately served: {}", Shares::BYTES);
+    println!("each caller lately served: {}", Shares::BYTES_PER_CALLER);
     println!("entry, each service: admission {}", size_of::<Admission>());
     println!("entry, each service: hedges {}", size_of::<Hedge>());
     println!("entry, each service: retries {}", size_of::<Retry>());
--- a/crates/lentillift-policy/src/share.rs
+++ b/crates/lentillift-policy/src/share.rs
@@ -46,7 +46,7 @@
 
 impl Shares {
     /// Bytes that a caller takes, its name's pointer included.
-    pub const BYTES: usize = size_of::<(id::Caller, Usage)>();
+    pub const BYTES_PER_CALLER: usize = size_of::<(id::Caller, Usage)>();
 
     /// Notes something that is served to a caller.
     pub fn note(&mut self, now: Time, caller: &id::Caller, weight: u32, cost: f64) {
