--- a/crates/lentillift-policy/src/coalescing.rs
+++ b/crates/lentillift-policy/src/coalescing.rs
@@ -26,7 +26,7 @@
 
 /// What to do about a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Share a run that is under way.
     Join(id::Request),
     /// Start a run.
@@ -42,10 +42,10 @@
 
 impl Runs {
     /// Says what to do about a query.
-    pub fn next(&self, options: &Options, key: &Key) -> Next {
+    pub fn next(&self, options: &Options, key: &Key) -> Decision {
         match self.open.get(key) {
-            Some(run) if options.on => Next::Join(*run),
-            _ => Next::Start,
+            Some(run) if options.on => Decision::Join(*run),
+            _ => Decision::Start,
         }
     }
 
