--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -257,7 +257,7 @@
             let answer = answer.clone();
             return vec![Effect::Answer { request, answer }];
         }
-        if let coalescing::Decision::Join(run) = self.runs.next(coalescing, &key) {
+        if let coalescing::Decision::Join(run) = self.runs.decide(coalescing, &key) {
             self.counts.add("lentillift_coalesced_total");
             self.enter(request, run, ask, query.deadline, query.rank);
             return Vec::new();
--- a/crates/lentillift-policy/src/coalescing.rs
+++ b/crates/lentillift-policy/src/coalescing.rs
@@ -42,7 +42,7 @@
 
 impl Runs {
     /// Says what to do about a query.
-    pub fn next(&self, options: &Options, key: &Key) -> Decision {
+    pub fn decide(&self, options: &Options, key: &Key) -> Decision {
         match self.open.get(key) {
             Some(run) if options.on => Decision::Join(*run),
             _ => Decision::Start,
