--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -66,15 +66,15 @@
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         let busy = self.loads.is_busy(&self.policy.choice, now, &backend);
         match pace.hedge.next(busy) {
-            hedge::Next::Send => {}
-            hedge::Next::Busy => {
+            hedge::Decision::Send => {}
+            hedge::Decision::Busy => {
                 self.counts.add("lentillift_hedges_busy_total");
                 if let Some(due) = pace.hedge.again(now) {
                     self.flights.set_hedge(run, position, due);
                 }
                 return None;
             }
-            hedge::Next::Spent => {
+            hedge::Decision::Spent => {
                 self.counts.add("lentillift_hedges_spent_total");
                 return None;
             }
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -31,7 +31,7 @@
 
 /// What to do about a sub-request that has not been answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Ask the second replica.
     Send,
     /// The second replica is known to be cold, or to have others waiting.
@@ -95,13 +95,13 @@
     }
 
     /// Whether to ask a second replica, which may be known to be `busy`.
-    pub fn next(&mut self, busy: bool) -> Next {
+    pub fn next(&mut self, busy: bool) -> Decision {
         if busy {
-            return Next::Busy;
+            return Decision::Busy;
         }
         match self.budget.spend() {
-            true => Next::Send,
-            false => Next::Spent,
+            true => Decision::Send,
+            false => Decision::Spent,
         }
     }
 
