--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -65,7 +65,7 @@
         let query = self.queries.get_mut(&run)?;
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         let busy = self.loads.is_busy(&self.policy.choice, now, &backend);
-        match pace.hedge.next(busy) {
+        match pace.hedge.decide(busy) {
             hedge::Decision::Send => {}
             hedge::Decision::Busy => {
                 self.counts.add("lentillift_hedges_busy_total");
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -95,7 +95,7 @@
     }
 
     /// Whether to ask a second replica, which may be known to be `busy`.
-    pub fn next(&mut self, busy: bool) -> Decision {
+    pub fn decide(&mut self, busy: bool) -> Decision {
         if busy {
             return Decision::Busy;
         }
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -62,7 +62,7 @@
         for slow in slow {
             sent += 1;
             hedges.sent(&options, Duration::ZERO);
-            if slow && hedges.next(false) == hedge::Decision::Send {
+            if slow && hedges.decide(false) == hedge::Decision::Send {
                 extra += 1;
             }
             prop_assert!(100 * extra <= 100 * FIRST + u64::from(options.budget_percent) * sent);
