--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -34,7 +34,7 @@
         let mut hedge_at = None;
         if !again {
             pace.retry.sent(&self.policy.retry);
-            hedge_at = pace.hedge.sent(&self.policy.hedge, now);
+            hedge_at = pace.hedge.record_sent(&self.policy.hedge, now);
         }
         self.send(now, run, position, backend, hedge_at, false)
     }
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -65,7 +65,7 @@
 
 impl Hedge {
     /// Notes an ordinary sub-request; says when a hedge for it is due.
-    pub fn sent(&mut self, options: &Options, now: Time) -> Option<Time> {
+    pub fn record_sent(&mut self, options: &Options, now: Time) -> Option<Time> {
         if !options.on {
             return None;
         }
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -61,7 +61,7 @@
         let (mut sent, mut extra) = (0, 0);
         for slow in slow {
             sent += 1;
-            hedges.sent(&options, Duration::ZERO);
+            hedges.record_sent(&options, Duration::ZERO);
             if slow && hedges.decide(false) == hedge::Decision::Send {
                 extra += 1;
             }
