--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -69,7 +69,7 @@
         let first = rivals.iter().map(|(_, rival)| rival.since).min();
         let since = first.unwrap_or(flight.since).min(flight.since);
         pace.hedge
-            .replied(&self.policy.hedge, now.saturating_sub(since));
+            .record_reply(&self.policy.hedge, now.saturating_sub(since));
         if flight.hedge {
             self.counts.add("lentillift_hedges_won_total");
         }
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -76,7 +76,7 @@
     }
 
     /// Notes how long a shard's reply took, from the first sub-request on.
-    pub fn replied(&mut self, options: &Options, latency: Duration) {
+    pub fn record_reply(&mut self, options: &Options, latency: Duration) {
         let Some(latencies) = &mut self.latencies else {
             return;
         };
