--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -103,7 +103,7 @@
         let tried = tried.clone();
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         if flight.hedge && outcome == Outcome::NotRun {
-            pace.hedge.refused();
+            pace.hedge.record_refused();
             if let Some(due) = pace.hedge.again(now) {
                 self.flights.set_hedge(flight.run, flight.position, due);
             }
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -106,7 +106,7 @@
     }
 
     /// Notes a hedge that ran nowhere.
-    pub fn refused(&mut self) {
+    pub fn record_refused(&mut self) {
         self.budget.refund();
     }
 
