--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -69,7 +69,7 @@
             hedge::Decision::Send => {}
             hedge::Decision::Busy => {
                 self.counts.add("lentillift_hedges_busy_total");
-                if let Some(due) = pace.hedge.again(now) {
+                if let Some(due) = pace.hedge.retry_at(now) {
                     self.flights.set_hedge(run, position, due);
                 }
                 return None;
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -104,7 +104,7 @@
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         if flight.hedge && outcome == Outcome::NotRun {
             pace.hedge.record_refused();
-            if let Some(due) = pace.hedge.again(now) {
+            if let Some(due) = pace.hedge.retry_at(now) {
                 self.flights.set_hedge(flight.run, flight.position, due);
             }
         }
--- a/crates/lentillift-policy/src/hedge.rs
+++ b/crates/lentillift-policy/src/hedge.rs
@@ -111,7 +111,7 @@
     }
 
     /// When to try again after a hedge that was refused or could not be sent.
-    pub fn again(&self, now: Time) -> Option<Time> {
+    pub fn retry_at(&self, now: Time) -> Option<Time> {
         Some(now + self.delay? / AGAIN)
     }
 }
