--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -139,10 +139,10 @@
             tries: tried.len() as u32,
         };
         let again = match pace.retry.next(&self.policy.retry, &failed) {
-            retry::Next::Retry if now < deadline => {
+            retry::Decision::Retry if now < deadline => {
                 self.try_replica(now, flight.run, flight.position, tried, true)
             }
-            retry::Next::Spent | retry::Next::Refusing => {
+            retry::Decision::Spent | retry::Decision::Refusing => {
                 self.counts.add("lentillift_retries_denied_total");
                 None
             }
--- a/crates/lentillift-policy/src/retry.rs
+++ b/crates/lentillift-policy/src/retry.rs
@@ -18,7 +18,7 @@
 
 /// What to do about a failed sub-request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Send it to another replica.
     Retry,
     /// It may have run and must not be repeated.
@@ -64,26 +64,26 @@
     }
 
     /// Says what to do about a sub-request that failed.
-    pub fn next(&mut self, options: &Options, failed: &Failed) -> Next {
+    pub fn next(&mut self, options: &Options, failed: &Failed) -> Decision {
         if is_refusal(failed.failure) {
             self.refusing += RECENT * (1.0 - self.refusing);
         }
         if failed.outcome != Outcome::NotRun && !failed.idempotent {
-            return Next::Unsafe;
+            return Decision::Unsafe;
         }
         if failed.tries >= options.tries {
-            return Next::Tried;
+            return Decision::Tried;
         }
         if !options.on || is_misrouted(failed.failure) {
             // It never came near a backend server, so that trying elsewhere adds no load.
-            return Next::Retry;
+            return Decision::Retry;
         }
         if 100.0 * self.refusing >= f64::from(options.refusing_percent) {
-            return Next::Refusing;
+            return Decision::Refusing;
         }
         match self.budget.spend() {
-            true => Next::Retry,
-            false => Next::Spent,
+            true => Decision::Retry,
+            false => Decision::Spent,
         }
     }
 }
