--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -138,7 +138,7 @@
             idempotent: true,
             tries: tried.len() as u32,
         };
-        let again = match pace.retry.next(&self.policy.retry, &failed) {
+        let again = match pace.retry.decide(&self.policy.retry, &failed) {
             retry::Decision::Retry if now < deadline => {
                 self.try_replica(now, flight.run, flight.position, tried, true)
             }
--- a/crates/lentillift-policy/src/retry.rs
+++ b/crates/lentillift-policy/src/retry.rs
@@ -64,7 +64,7 @@
     }
 
     /// Says what to do about a sub-request that failed.
-    pub fn next(&mut self, options: &Options, failed: &Failed) -> Decision {
+    pub fn decide(&mut self, options: &Options, failed: &Failed) -> Decision {
         if is_refusal(failed.failure) {
             self.refusing += RECENT * (1.0 - self.refusing);
         }
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -85,7 +85,7 @@
                 idempotent: true,
                 tries: 1,
             };
-            extra += u64::from(retries.next(&options, &failed) == retry::Decision::Retry);
+            extra += u64::from(retries.decide(&options, &failed) == retry::Decision::Retry);
             prop_assert!(100 * extra <= 100 * FIRST + u64::from(options.budget_percent) * sent);
         }
     }
@@ -103,7 +103,7 @@
                 idempotent: false,
                 tries,
             };
-            prop_assert_eq!(Retry::default().next(&options, &failed), retry::Decision::Unsafe);
+            prop_assert_eq!(Retry::default().decide(&options, &failed), retry::Decision::Unsafe);
         }
     }
 
