--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -33,7 +33,7 @@
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         let mut hedge_at = None;
         if !again {
-            pace.retry.sent(&self.policy.retry);
+            pace.retry.record_sent(&self.policy.retry);
             hedge_at = pace.hedge.record_sent(&self.policy.hedge, now);
         }
         self.send(now, run, position, backend, hedge_at, false)
--- a/crates/lentillift-policy/src/retry.rs
+++ b/crates/lentillift-policy/src/retry.rs
@@ -54,7 +54,7 @@
 
 impl Retry {
     /// Notes an ordinary sub-request.
-    pub fn sent(&mut self, options: &Options) {
+    pub fn record_sent(&mut self, options: &Options) {
         self.budget.earn(options.budget_percent);
     }
 
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -78,7 +78,7 @@
         let (mut sent, mut extra) = (0, 0);
         for refused in refused {
             sent += 1;
-            retries.sent(&options);
+            retries.record_sent(&options);
             let failed = retry::Failed {
                 failure: if refused { Failure::Refused } else { Failure::Connection },
                 outcome: Outcome::NotRun,
