--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -63,7 +63,7 @@
         };
         query.states[flight.position] = State::Answered(hits);
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        pace.retry.succeeded();
+        pace.retry.record_success();
         let rivals = self.flights.remove_shard(flight.run, flight.position);
         // A hedge's own time would tell nothing of the replica that was too slow.
         let first = rivals.iter().map(|(_, rival)| rival.since).min();
--- a/crates/lentillift-policy/src/retry.rs
+++ b/crates/lentillift-policy/src/retry.rs
@@ -59,7 +59,7 @@
     }
 
     /// Notes a sub-request that succeeded.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.refusing -= RECENT * self.refusing;
     }
 
