--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -334,7 +334,7 @@
         let Some(map) = plan::snapshot(&self.view, &ask.service, &self.gone, now) else {
             return Err(Refusal::new(Cause::NoSnapshot, "no snapshot is published"));
         };
-        let deadline = partial::due(&self.policy.partial, now, ask.allowance);
+        let deadline = partial::answer_deadline(&self.policy.partial, now, ask.allowance);
         let class = config.class(service, &ask.caller);
         let mut query = Query::new(ask.clone(), map.clone(), now, deadline);
         query.rank = class.map_or(u8::MAX, |class| class.rank);
--- a/crates/lentillift-policy/src/partial.rs
+++ b/crates/lentillift-policy/src/partial.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// When the answer to a query is put together at the latest.
-pub fn due(options: &Options, now: Time, allowance: Duration) -> Time {
+pub fn answer_deadline(options: &Options, now: Time, allowance: Duration) -> Time {
     let margin = millis(options.margin_ms).min(allowance / 4);
     now + allowance - margin
 }
