--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether work for `backend` may wait here.
-    pub fn keeps(&self, backend: &id::Backend) -> bool {
+    pub fn may_queue(&self, backend: &id::Backend) -> bool {
         let hold = self.holds.get(backend);
         matches!(hold, Some(Hold::Until(_) | Hold::Pending))
     }
--- a/crates/lentillift-owner/src/core/intake.rs
+++ b/crates/lentillift-owner/src/core/intake.rs
@@ -20,7 +20,7 @@
 impl Owner {
     /// The service of a sub-request whose backend server is owned here.
     pub(super) fn service(&self, sub: &Sub) -> Option<Service> {
-        if !self.keeps(&sub.backend) {
+        if !self.may_queue(&sub.backend) {
             return None;
         }
         let known = self.view.backends.get(&sub.backend)?;
@@ -29,7 +29,7 @@
 
     /// Why a sub-request can't be taken at all, whatever the load.
     pub(super) fn objection(&self, now: Time, sub: &Sub) -> Option<Failure> {
-        if !self.keeps(&sub.backend) {
+        if !self.may_queue(&sub.backend) {
             return Some(Failure::NotOwner);
         }
         // A process that was paused can't know what was taken out meanwhile.
--- a/crates/lentillift-owner/src/core/refit.rs
+++ b/crates/lentillift-owner/src/core/refit.rs
@@ -40,7 +40,7 @@
     }
 
     fn refit_server(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
-        let owned = self.keeps(backend);
+        let owned = self.may_queue(backend);
         let known = self.view.backends.get(backend);
         let service = known.and_then(|known| {
             let config = self.config.as_ref()?;
@@ -69,7 +69,7 @@
 
     /// Drops a server that is not owned here any more, once nothing of it is in flight.
     pub(super) fn drop_if_lost(&mut self, backend: &id::Backend) {
-        let owned = self.keeps(backend);
+        let owned = self.may_queue(backend);
         if !owned && self.servers.get(backend).is_some_and(Server::is_idle) {
             self.servers.remove(backend);
         }
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -204,7 +204,7 @@
 
     /// Whether the owner still goes by a lease on `backend` that is over.
     pub(crate) fn lost(&self, backend: &id::Backend) -> bool {
-        self.owner.keeps(backend)
+        self.owner.may_queue(backend)
     }
 
     async fn carry_out(&mut self, now: Time, effect: Effect) {
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -137,7 +137,7 @@
         let Some(backend) = view.backends.get(name) else {
             continue;
         };
-        if !owner.keeps(name) {
+        if !owner.may_queue(name) {
             continue;
         }
         let server = status::Server {
