--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -30,7 +30,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use hold::Standing;
+pub use hold::HandoverState;
 pub use lentillift_policy::queue::Ticket;
 
 /// What happens to an owner.
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -13,7 +13,7 @@
 
 /// What a successor must know of a backend server that is handed over.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct HandoverState {
     /// Requests that it may run at a time, as far as it has warmed up.
     pub limit: u32,
     /// Requests that it has from this process.
@@ -72,14 +72,14 @@
     }
 
     /// How `backend` stands, for a hand-over.
-    pub fn standing(&self, now: Time, backend: &id::Backend) -> Standing {
+    pub fn standing(&self, now: Time, backend: &id::Backend) -> HandoverState {
         let Some(server) = self.servers.get(backend) else {
-            return Standing::default();
+            return HandoverState::default();
         };
         let end = self.ends.get(backend).copied().unwrap_or_default();
         let end = end.max(server.inherited_until());
         let in_flight = server.occupied(now);
-        Standing {
+        HandoverState {
             limit: server.warmup.limit(),
             in_flight,
             left: if in_flight == 0 {
