--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -72,7 +72,7 @@
     }
 
     /// How `backend` stands, for a hand-over.
-    pub fn standing(&self, now: Time, backend: &id::Backend) -> HandoverState {
+    pub fn handover_state(&self, now: Time, backend: &id::Backend) -> HandoverState {
         let Some(server) = self.servers.get(backend) else {
             return HandoverState::default();
         };
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -201,7 +201,7 @@
     /// Hands over what no request is under way for any more, or what has waited for long enough.
     pub(crate) async fn hand_over(&mut self, now: Time) {
         for (backend, overdue) in self.tenure.ceding(now) {
-            let standing = self.owner.standing(now, &backend);
+            let standing = self.owner.handover_state(now, &backend);
             if standing.in_flight > 0 && !overdue {
                 continue;
             }
