--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -141,7 +141,7 @@
                 b.iter(|| {
                     n += 1;
                     let job = jobs[(n % 150) as usize].clone();
-                    let ahead = queue.ahead(&job);
+                    let ahead = queue.work_ahead(&job);
                     queue.push(n, job, n);
                     (ahead, queue.pop(&options, NOW, Slot::Open))
                 });
--- a/crates/lentillift-owner/src/server.rs
+++ b/crates/lentillift-owner/src/server.rs
@@ -214,7 +214,7 @@
         let left = self.running.iter().map(|running| self.left(now, running));
         let first = left.min().unwrap_or_default();
         // The queue's work is in baseline time; a server that is slow now takes longer for it.
-        first + self.expected(self.queue.ahead(job)) / limit
+        first + self.expected(self.queue.work_ahead(job)) / limit
     }
 
     /// Time that a request in flight will still take.
--- a/crates/lentillift-policy/src/queue.rs
+++ b/crates/lentillift-policy/src/queue.rs
@@ -325,7 +325,7 @@
     ///
     /// That is all of better classes, and of its own class what the shares allow: at most as much
     /// as waits, and at most its own lane's work times the reciprocal of its share.
-    pub fn ahead(&self, job: &Job) -> Duration {
+    pub fn work_ahead(&self, job: &Job) -> Duration {
         let better = self.bands.range(..job.rank);
         let better: Duration = better.map(|(_, band)| band.work).sum();
         let Some(band) = self.bands.get(&job.rank) else {
