--- a/crates/lentillift-policy/src/budget.rs
+++ b/crates/lentillift-policy/src/budget.rs
@@ -1,41 +1,43 @@
-//! A budget of extra requests, earned by ordinary ones.
+//! A budget of extra requests (hedges or retries), earned by ordinary requests.
 //!
-//! Pattern: whatever makes requests slow or fail makes more of them look worth repeating, so that
-//! hedges and retries double the load just when there is none to spare. A budget that grows with
-//! the ordinary requests bounds them to a share of the load, whatever the reason.
+//! Pattern: whatever makes requests slow or fail also makes more of them candidates for hedges and
+//! retries, which then double the load just when there is no spare capacity. A budget that grows
+//! with the ordinary requests bounds the extra ones to a share of the load, whatever the cause.
 
-/// Price of one extra request, in hundredths; each ordinary one earns its percentage.
+/// Price of one extra request in hundredths; each ordinary request earns its percentage.
 const PRICE: u64 = 100;
 
-/// Extra requests that can be saved up: a query of 68 shards can send all that it is due at once,
-/// and a service that was calm for an hour can't send a storm.
-const MOST: u64 = 100;
+/// Maximum number of extra requests that can be saved up: enough for a query of 68 shards to send
+/// all its extra requests at once, and few enough that a service that was calm for an hour cannot
+/// send a storm.
+const MAX_SAVED: u64 = 100;
 
 /// Extra requests that can be sent before any has been earned.
-const FIRST: u64 = 10;
+const INITIAL: u64 = 10;
 
 /// A budget of extra requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budget {
-    // INVARIANT: At most `MOST * PRICE`.
+    /// Balance in hundredths of an extra request.
+    // INVARIANT: At most `MAX_SAVED * PRICE`.
     saved: u64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            saved: FIRST * PRICE,
+            saved: INITIAL * PRICE,
         }
     }
 }
 
 impl Budget {
-    /// Notes an ordinary request, which earns `percent` of an extra one.
+    /// Records an ordinary request, which earns `percent` hundredths of an extra one.
     pub fn earn(&mut self, percent: u32) {
-        self.saved = (self.saved + u64::from(percent)).min(MOST * PRICE);
+        self.saved = (self.saved + u64::from(percent)).min(MAX_SAVED * PRICE);
     }
 
-    /// Pays for an extra request, if the budget allows.
+    /// Pays for an extra request; returns false if the budget does not allow one.
     pub fn spend(&mut self) -> bool {
         match self.saved.checked_sub(PRICE) {
             Some(left) => {
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Takes back an extra request that ran nowhere.
+    /// Pays back an extra request that did not run anywhere.
     pub fn refund(&mut self) {
-        self.saved = (self.saved + PRICE).min(MOST * PRICE);
+        self.saved = (self.saved + PRICE).min(MAX_SAVED * PRICE);
     }
 }
--- a/crates/lentillift-policy/src/choice.rs
+++ b/crates/lentillift-policy/src/choice.rs
@@ -1,14 +1,15 @@
-//! Which replica of a shard is asked.
+//! Which replica of a shard a sub-request is sent to.
 //!
-//! Pattern: one replica is slow, full, cold or gone while another is idle. Without this module
-//! half of the sub-requests go to the slow one. Owners send their counts of a backend server along
-//! with every result; the replica with the least expected wait is asked. Of more than two replicas
-//! two are drawn and compared, so that entries that know the same do not all run to the same one
-//! (Mitzenmacher, "The Power of Two Choices", 2001).
+//! Pattern: one replica is slow, full, cold or down while another is idle. Without this module half
+//! of the sub-requests go to the slow one. Owners send their load counts for a backend server with
+//! every result, and the replica with the lowest expected latency is chosen. Of more than two
+//! replicas, two are drawn at random and compared, so that entries with the same information do not
+//! all choose the same one (Mitzenmacher, "The Power of Two Choices", 2001).
 //!
-//! Figures: counts older than a second are not believed, and the server is held to be idle: one
-//! sub-request a second finds out whether it is. Another failure domain has to be better by 5%,
-//! which is less than the 1 ms between domains costs and so never outweighs a queue.
+//! Defaults: counts older than a second are ignored, and the server is assumed to be idle; one
+//! sub-request per second then finds out whether it is. A replica in another failure domain must be
+//! better by 5%, which is less than the 1 ms of network latency between domains and so never
+//! outweighs a queue.
 
 use lentillift_core::id;
 use lentillift_core::sub::Load;
@@ -19,115 +20,116 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time that a request is held to take at a server of which nothing is known.
-const GUESS: Duration = Duration::from_millis(1);
+/// Assumed latency of a server of which nothing is known, and lower bound for the others.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(1);
 
-/// Part of a request's time that the next one waits on average for the last slot to come free, if
-/// others arrive at random.
-const ARRIVAL: u32 = 4;
+/// A request that arrives at a random time waits on average this fraction (1/n) of a request's time
+/// until the last slot is free.
+const RESIDUAL_WAIT_DIVISOR: u32 = 4;
 
-/// Wait that is held against a server which takes nothing.
-const CLOSED: Duration = Duration::from_secs(3600);
+/// Latency that is assumed for a server that accepts no work.
+const NO_CAPACITY_LATENCY: Duration = Duration::from_secs(3600);
 
-/// A replica that could be asked.
+/// A replica that can be chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// The backend server.
+    /// The backend server that holds the replica.
     pub backend: &'a id::Backend,
     /// Whether it is in the failure domain of this process.
     pub same_domain: bool,
 }
 
-/// What is known of one backend server.
+/// The last known load of one backend server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Known {
+struct KnownLoad {
     load: Load,
-    at: Option<Time>,
+    /// When `load` was received; `None` before the first.
+    received_at: Option<Time>,
     /// Sub-requests sent since.
     sent: u32,
 }
 
-/// What is known of the backend servers' loads.
+/// The last known loads of backend servers.
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
     // INVARIANT: Holds published backend servers only.
-    known: HashMap<id::Backend, Known>,
+    known: HashMap<id::Backend, KnownLoad>,
 }
 
 impl Loads {
-    /// Bytes that a backend server takes, its name's pointer included.
-    pub const BYTES_PER_BACKEND: usize = size_of::<(id::Backend, Known)>();
+    /// Bytes per backend server, its name's pointer included.
+    pub const BYTES_PER_BACKEND: usize = size_of::<(id::Backend, KnownLoad)>();
 
-    /// Takes in what an owner tells of a backend server.
+    /// Records the load that an owner sent for a backend server.
     pub fn record(&mut self, now: Time, backend: &id::Backend, load: Load) {
-        let known = Known {
+        let known = KnownLoad {
             load,
-            at: Some(now),
+            received_at: Some(now),
             sent: 0,
         };
         self.known.insert(backend.clone(), known);
     }
 
-    /// Notes that a sub-request was sent to a backend server.
+    /// Records that a sub-request was sent to a backend server.
     pub fn record_sent(&mut self, backend: &id::Backend) {
         if let Some(known) = self.known.get_mut(backend) {
             known.sent = known.sent.saturating_add(1);
         } else {
-            let known = Known {
+            let known = KnownLoad {
                 sent: 1,
-                ..Known::default()
+                ..KnownLoad::default()
             };
             self.known.insert(backend.clone(), known);
         }
     }
 
-    /// Forgets backend servers that are no longer published.
+    /// Removes backend servers that are no longer published.
     pub fn retain(&mut self, keep: impl Fn(&id::Backend) -> bool) {
         self.known.retain(|backend, _| keep(backend));
     }
 
-    /// What an owner told last of a backend server, unless it is too old to be believed.
+    /// The last load received for a backend server; `None` if it is stale.
     pub fn load(&self, options: &Options, now: Time, backend: &str) -> Option<&Load> {
         let known = self.known.get(backend)?;
-        let at = known.at?;
-        let fresh = now.saturating_sub(at) < millis(options.age_ms);
+        let received_at = known.received_at?;
+        let fresh = now.saturating_sub(received_at) < millis(options.age_ms);
         fresh.then_some(&known.load)
     }
 
-    /// Whether `backend` is known to be of no use for a hedge: cold, or with others waiting.
+    /// Whether `backend` is known to refuse hedges: it is cold or has requests waiting.
     ///
-    /// That others wait is believed for as long as their wait was to take.
+    /// Waiting requests count for as long as they were expected to wait.
     pub fn is_busy(&self, options: &Options, now: Time, backend: &str) -> bool {
         let Some(load) = self.load(options, now, backend) else {
             return false;
         };
-        let at = self.known.get(backend).and_then(|known| known.at);
-        let age = now.saturating_sub(at.unwrap_or_default());
+        let received_at = self.known.get(backend).and_then(|known| known.received_at);
+        let age = now.saturating_sub(received_at.unwrap_or_default());
         load.cold || load.limit == 0 || (load.queued > 0 && age < load.wait)
     }
 
-    /// Time until a further sub-request to `backend` would be answered.
+    /// Expected time until a new sub-request to `backend` is answered.
     pub fn expected_latency(&self, options: &Options, now: Time, backend: &str) -> Duration {
         let Some(known) = self.known.get(backend) else {
-            return GUESS;
+            return DEFAULT_LATENCY;
         };
         let Some(load) = self.load(options, now, backend) else {
-            return GUESS;
+            return DEFAULT_LATENCY;
         };
         if load.limit == 0 {
-            return CLOSED;
+            return NO_CAPACITY_LATENCY;
         }
-        let run = load.run.max(GUESS);
-        // What was sent since the counts were made fills free slots first, then waits.
-        let taken = load.running + known.sent;
-        let behind = (taken + 1).saturating_sub(load.limit);
-        let since = run * behind.min(known.sent) / load.limit;
-        // The fewer slots are free, the likelier none is when the sub-request arrives.
-        let chance = run * taken / load.limit / ARRIVAL;
-        load.wait + since + chance + run
+        let run = load.run.max(DEFAULT_LATENCY);
+        // Sub-requests sent since the load was received fill free slots first, then wait.
+        let occupied = load.running + known.sent;
+        let waiting = (occupied + 1).saturating_sub(load.limit);
+        let wait_since = run * waiting.min(known.sent) / load.limit;
+        // The fewer slots are free, the likelier the sub-request finds none when it arrives.
+        let residual_wait = run * occupied / load.limit / RESIDUAL_WAIT_DIVISOR;
+        load.wait + wait_since + residual_wait + run
     }
 
-    /// Chooses among replicas; `None` when there is none.
+    /// Chooses among replicas; `None` when there are none.
     pub fn choose<'a, R>(
         &self,
         options: &Options,
@@ -143,7 +145,7 @@
         if !options.on || candidates.len() == 1 {
             return Some(first.backend);
         }
-        // Another one than the first, each as likely as any.
+        // Any replica but the first, each with the same probability.
         let others: Vec<_> = candidates.iter().filter(|c| *c != first).collect();
         let second = others[rng.random_range(0..others.len())];
         let score = |candidate: &Candidate<'_>| {
--- a/crates/lentillift-policy/src/coalescing.rs
+++ b/crates/lentillift-policy/src/coalescing.rs
@@ -1,47 +1,48 @@
-//! Whether identical queries share a run.
+//! Request coalescing: identical queries share one run.
 //!
 //! Pattern: a name is in the news and fifty callers search for it at once. Without this module each
-//! search runs on every shard, and the shards do the same work fifty times. Queries of the same
-//! service, snapshot and body, all of which may be repeated, share the run that is under way. Each
-//! caller still gets an answer of its own, with its own limit, deadline and least coverage, and
-//! one that goes away cancels only what nobody else waits for.
+//! search runs on every shard, and the shards do the same work fifty times. Idempotent queries with
+//! the same service, snapshot and body share the run in flight. Each caller still gets its own
+//! answer, with its own limit, deadline and least coverage; when a caller disconnects, only work
+//! that no other caller waits for is cancelled.
 //!
-//! A run that has lost a shard takes no more queries: a newcomer has time to get that shard.
+//! A run that has lost a shard is closed to further queries, because a new query still has time to
+//! get that shard.
 
 use lentillift_core::id;
 use lentillift_settings::policy::Coalescing as Options;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What makes queries identical.
+/// Queries with equal keys are identical.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Key {
-    /// The service.
+    /// The service that is searched.
     pub service: id::Service,
-    /// The snapshot.
+    /// The snapshot that is searched.
     pub snapshot: id::Snapshot,
-    /// The body.
+    /// The query's body, compared byte by byte.
     pub body: Arc<[u8]>,
 }
 
-/// What to do about a query.
+/// What to do with a new query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Share a run that is under way.
+    /// Share this run, which is in flight.
     Join(id::Request),
     /// Start a run.
     Start,
 }
 
-/// The runs under way that take further queries.
+/// Runs in flight that further queries may join.
 #[derive(Debug, Clone, Default)]
 pub struct Runs {
-    // INVARIANT: Names runs under way only.
+    // INVARIANT: Names runs in flight only.
     open: HashMap<Key, id::Request>,
 }
 
 impl Runs {
-    /// Says what to do about a query.
+    /// Decides whether a query joins an open run or starts one.
     pub fn decide(&self, options: &Options, key: &Key) -> Decision {
         match self.open.get(key) {
             Some(run) if options.on => Decision::Join(*run),
@@ -49,24 +50,24 @@
         }
     }
 
-    /// Notes a run that was started.
+    /// Records a run that was started, open to further queries.
     pub fn start(&mut self, key: Key, run: id::Request) {
         self.open.insert(key, run);
     }
 
-    /// Notes that a run takes no more queries.
+    /// Closes a run to further queries.
     pub fn close(&mut self, key: &Key, run: id::Request) {
         if self.open.get(key) == Some(&run) {
             self.open.remove(key);
         }
     }
 
-    /// How many runs take further queries.
+    /// Number of runs that further queries may join.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether no run takes further queries.
+    /// Whether no run is open to further queries.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- a/crates/lentillift-policy/src/count.rs
+++ b/crates/lentillift-policy/src/count.rs
@@ -1,11 +1,11 @@
-//! Counts of decisions, for operators.
+//! Counters of policy decisions, exported as metrics.
 
 use std::collections::BTreeMap;
 
-/// Name of a counter, as it stands in the metrics.
+/// Name of a counter in the exported metrics.
 pub type Name = &'static str;
 
-/// Counts since they were last taken.
+/// Counter increments since the last [`Counts::take`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
     counts: BTreeMap<Name, u64>,
@@ -17,7 +17,7 @@
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// Takes all counts; what comes later counts anew.
+    /// Returns all counts and resets them to zero.
     pub fn take(&mut self) -> BTreeMap<Name, u64> {
         std::mem::take(&mut self.counts)
     }
--- a/crates/lentillift-policy/src/lib.rs
+++ b/crates/lentillift-policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions under load: whom to serve, who waits, who is refused, and where work goes.
+//! Overload policies: admission, queueing, load shedding, replica choice, hedging and retries.
 //!
 //! No module here opens a socket, reads a clock or draws a random number: time and randomness are
-//! passed in. Each names the load pattern it answers, what happens without it, and the grounds
-//! for its figures. The figures come from [`lentillift_settings::policy`].
+//! passed in. Each module's text names the load pattern it addresses, what happens without it, and
+//! the reasons for its defaults. The settings come from [`lentillift_settings::policy`].
 
 #![forbid(unsafe_code)]
 
