--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -22,7 +22,7 @@
 use lentillift_fleet::view::View;
 use lentillift_policy::cost::Costs;
 use lentillift_policy::count::Counts;
-use lentillift_policy::queue::Turn;
+use lentillift_policy::queue::Dequeued;
 use lentillift_settings::config::Config;
 use lentillift_settings::policy::Policy;
 use std::collections::BTreeSet;
@@ -259,7 +259,7 @@
         effects
     }
 
-    fn send(&mut self, now: Time, turn: Turn<Waiting>) -> Effect {
+    fn send(&mut self, now: Time, turn: Dequeued<Waiting>) -> Effect {
         let ticket = turn.ticket;
         let waiting = turn.item;
         // Asked again at the dispatch: the domain may have been taken out while it waited.
--- a/crates/lentillift-owner/src/core/intake.rs
+++ b/crates/lentillift-owner/src/core/intake.rs
@@ -55,7 +55,7 @@
         };
         let class = config.class(service, &sub.caller);
         let costs = self.costs.get(&sub.service);
-        let cost = costs.map_or(Duration::ZERO, |costs| costs.of(&sub.caller));
+        let cost = costs.map_or(Duration::ZERO, |costs| costs.expected(&sub.caller));
         let long = self.policy.queue.long_factor;
         let server = self.servers.get(&sub.backend);
         let run = server.map_or(cost, |server| server.expected(cost));
--- a/crates/lentillift-owner/src/core/refit.rs
+++ b/crates/lentillift-owner/src/core/refit.rs
@@ -55,7 +55,7 @@
         let mut effects = Vec::new();
         if !owned || service.is_none() || !self.view.in_service(backend) {
             // Whatever it was taken out for, it may come back with empty caches.
-            server.warmup.chill(&self.policy.warmup);
+            server.warmup.reset_to_cold(&self.policy.warmup);
             for waiting in server.queue.drain() {
                 let failure = self.objection(now, &waiting.sub);
                 effects.push(self.refuse(now, waiting, failure.unwrap_or(Failure::NotOwner)));
--- a/crates/lentillift-owner/src/core/settle.rs
+++ b/crates/lentillift-owner/src/core/settle.rs
@@ -54,7 +54,7 @@
             && !flight.cancelled
         {
             let costs = self.costs.entry(known.service.clone()).or_default();
-            costs.note(&flight.caller, now.saturating_sub(flight.since));
+            costs.record(&flight.caller, now.saturating_sub(flight.since));
         }
     }
 }
--- a/crates/lentillift-owner/src/server.rs
+++ b/crates/lentillift-owner/src/server.rs
@@ -20,7 +20,7 @@
 use lentillift_policy::slots;
 use lentillift_policy::slots::Slots;
 use lentillift_policy::warmup;
-use lentillift_policy::warmup::Sign;
+use lentillift_policy::warmup::ColdSignal;
 use lentillift_policy::warmup::Warmup;
 use lentillift_settings::config::Service;
 use lentillift_settings::policy::Policy;
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// It went cold.
-    Chilled(Sign),
+    Chilled(ColdSignal),
     /// Its warm-up is over.
     Warm,
     /// It gets nothing for a while.
@@ -77,10 +77,10 @@
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Chilled(Sign::Connection) => "cold: connection failed",
-            Self::Chilled(Sign::Incarnation) => "cold: new incarnation",
-            Self::Chilled(Sign::Latency) => "cold: latency jumped",
-            Self::Chilled(Sign::Report) => "cold: by its own report",
+            Self::Chilled(ColdSignal::Connection) => "cold: connection failed",
+            Self::Chilled(ColdSignal::Incarnation) => "cold: new incarnation",
+            Self::Chilled(ColdSignal::Latency) => "cold: latency jumped",
+            Self::Chilled(ColdSignal::Report) => "cold: by its own report",
             Self::Warm => "warm",
             Self::Paused => "paused after failures",
             Self::Well => "well again",
@@ -138,10 +138,10 @@
     /// How many requests may be in flight now: the least of all limits.
     pub fn limit(&self, policy: &Policy, now: Time) -> u32 {
         let limit = self.warmup.limit().min(self.slots.limit());
-        match self.health.next(&policy.health, now) {
-            health::Next::Serve => limit,
-            health::Next::Probe => limit.min(1),
-            health::Next::Stop => 0,
+        match self.health.state(&policy.health, now) {
+            health::State::Serve => limit,
+            health::State::Probe => limit.min(1),
+            health::State::Stop => 0,
         }
     }
 
@@ -229,10 +229,10 @@
 
     /// Why new work is turned away whatever the queue holds, if it is.
     pub fn objection(&self, policy: &Policy, now: Time) -> Option<Failure> {
-        match self.health.next(&policy.health, now) {
-            health::Next::Serve => None,
+        match self.health.state(&policy.health, now) {
+            health::State::Serve => None,
             // A second request would wait behind one that may hang.
-            health::Next::Probe if self.running.is_empty() => None,
+            health::State::Probe if self.running.is_empty() => None,
             _ if self.health.is_leaving() => Some(Failure::Out),
             _ => Some(Failure::Connection),
         }
@@ -262,7 +262,7 @@
         let latency = now.saturating_sub(flight.since);
         match result {
             sub::Result::Hits(_) | sub::Result::Reply(_) => {
-                if self.health.success() == health::Change::Well {
+                if self.health.record_success() == health::Change::Well {
                     changes.push(Change::Well);
                 }
                 let cold = self.reported(policy, now, report, &mut changes);
@@ -270,7 +270,7 @@
             }
             sub::Result::Failed { failure, .. } => match failure {
                 Failure::Connection | Failure::Ended => {
-                    self.chill(policy, Sign::Connection, &mut changes);
+                    self.chill(policy, ColdSignal::Connection, &mut changes);
                     self.failed(policy, now, &mut changes);
                 }
                 Failure::Timeout if flight.long => {}
@@ -301,13 +301,13 @@
         if flight.long || (flight.cancelled && !slow) {
             return;
         }
-        let percent = self.latency.note(latency);
+        let percent = self.latency.record(latency);
         self.slots_noted(policy, percent, changes);
-        if let Some(sign) = self.warmup.note_latency(&policy.warmup, percent) {
+        if let Some(sign) = self.warmup.record_latency(&policy.warmup, percent) {
             self.chill(policy, sign, changes);
         } else if counts
             && percent <= WARM_PERCENT
-            && self.warmup.success(&policy.warmup) == warmup::Step::Rose
+            && self.warmup.record_success(&policy.warmup) == warmup::Change::Rose
             && self.warmup.is_warm()
         {
             changes.push(Change::Warm);
@@ -322,16 +322,16 @@
         report: &Report,
         changes: &mut Vec<Change>,
     ) -> bool {
-        let cold = self.warmup.note_report(&policy.warmup, now, report.cold);
+        let cold = self.warmup.record_report(&policy.warmup, now, report.cold);
         if let Some(sign) = cold {
             self.chill(policy, sign, changes);
         }
         if let Some(new) = report.incarnation
             && self.incarnation.replace(new).is_some_and(|old| old != new)
         {
-            self.chill(policy, Sign::Incarnation, changes);
+            self.chill(policy, ColdSignal::Incarnation, changes);
         }
-        if self.health.note_leaving(now, report.draining) {
+        if self.health.record_leaving(now, report.draining) {
             changes.push(Change::Leaving);
         }
         cold.is_some()
@@ -350,7 +350,7 @@
         if !self.is_slow(policy, latency) {
             return;
         }
-        let percent = self.latency.note(latency);
+        let percent = self.latency.record(latency);
         self.slots_noted(policy, percent, changes);
         self.failed(policy, now, changes);
     }
@@ -360,7 +360,7 @@
     }
 
     fn slots_noted(&mut self, policy: &Policy, percent: u32, changes: &mut Vec<Change>) {
-        match self.slots.note(&policy.slots, percent) {
+        match self.slots.record(&policy.slots, percent) {
             slots::Change::Same => {}
             slots::Change::Fell => changes.push(Change::Fell),
             slots::Change::Rose => changes.push(Change::Rose),
@@ -368,14 +368,14 @@
     }
 
     fn failed(&mut self, policy: &Policy, now: Time, changes: &mut Vec<Change>) {
-        if self.health.failure(&policy.health, now) == health::Change::Paused {
+        if self.health.record_failure(&policy.health, now) == health::Change::Paused {
             changes.push(Change::Paused);
-            self.chill(policy, Sign::Connection, changes);
+            self.chill(policy, ColdSignal::Connection, changes);
         }
     }
 
-    fn chill(&mut self, policy: &Policy, sign: Sign, changes: &mut Vec<Change>) {
-        if self.warmup.chill(&policy.warmup) {
+    fn chill(&mut self, policy: &Policy, sign: ColdSignal, changes: &mut Vec<Change>) {
+        if self.warmup.reset_to_cold(&policy.warmup) {
             changes.push(Change::Chilled(sign));
         }
     }
--- a/crates/lentillift-policy/src/cost.rs
+++ b/crates/lentillift-policy/src/cost.rs
@@ -1,53 +1,56 @@
-//! What a caller's requests to a service usually cost.
+//! Expected cost of a request, by service and caller.
 //!
 //! Pattern: one caller's requests take a hundred times as long as another's, and nothing in the
-//! request says so. Without this module a queue shares by number and lets long requests take every
-//! slot. Costs are kept by service and caller, over all backend servers of the owner, and follow
-//! the median ([`Latency::baseline`]), so that one slow server makes no caller look long.
+//! request shows it. Without this module a queue counts requests, not time, and long requests
+//! occupy every slot. Costs are kept by service and caller, over all backend servers of the owner,
+//! and follow the median ([`Latency::baseline`]), so that one slow server does not make a caller
+//! look expensive.
 //!
-//! The number of callers is bounded, since anybody can invent a name.
+//! The number of callers is bounded, because callers can invent names.
 
 use crate::latency::Latency;
 use lentillift_core::id;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Callers that are remembered for one service at most.
-const MOST_CALLERS: usize = 4096;
+/// Maximum number of callers that are tracked for one service.
+const MAX_CALLERS: usize = 4096;
 
-/// What the requests to one service cost.
+/// Cost of the requests to one service.
 #[derive(Debug, Clone, Default)]
 pub struct Costs {
     all: Latency,
-    // INVARIANT: At most `MOST_CALLERS` long.
+    // INVARIANT: At most `MAX_CALLERS` long.
     callers: HashMap<id::Caller, Latency>,
 }
 
 impl Costs {
-    /// Takes in a reply.
-    pub fn note(&mut self, caller: &id::Caller, latency: Duration) {
-        self.all.note(latency);
+    /// Records the latency of a reply.
+    pub fn record(&mut self, caller: &id::Caller, latency: Duration) {
+        self.all.record(latency);
         if let Some(own) = self.callers.get_mut(caller) {
-            own.note(latency);
-        } else if self.callers.len() < MOST_CALLERS {
+            own.record(latency);
+        } else if self.callers.len() < MAX_CALLERS {
             let own = self.callers.entry(caller.clone()).or_default();
-            own.note(latency);
+            own.record(latency);
         }
     }
 
-    /// What a request of `caller` is expected to take; zero before the first reply.
-    pub fn of(&self, caller: &str) -> Duration {
+    /// Expected latency of a request of `caller`: its own median, or that of all requests to the
+    /// service if the caller is not tracked; zero before the first reply.
+    pub fn expected(&self, caller: &str) -> Duration {
         let own = self.callers.get(caller).unwrap_or(&self.all);
         own.baseline()
     }
 
-    /// Whether the requests of `caller` are long beside those of others.
+    /// Whether the requests of `caller` take at least `factor` times the service's median.
     ///
-    /// A caller without a reply is held to be so: its first long requests would else take every
-    /// slot before anybody knew.
+    /// A caller without a reply counts as long: its first requests might otherwise occupy every
+    /// slot before their cost is known. Once the table of callers is full, further ones are taken
+    /// to have the service's median.
     pub fn is_long(&self, caller: &str, factor: u32) -> bool {
-        let usual = self.all.baseline();
-        let known = self.callers.contains_key(caller) || self.callers.len() >= MOST_CALLERS;
-        usual > Duration::ZERO && (!known || self.of(caller) >= usual * factor)
+        let median = self.all.baseline();
+        let known = self.callers.contains_key(caller) || self.callers.len() >= MAX_CALLERS;
+        median > Duration::ZERO && (!known || self.expected(caller) >= median * factor)
     }
 }
--- a/crates/lentillift-policy/src/health.rs
+++ b/crates/lentillift-policy/src/health.rs
@@ -1,104 +1,105 @@
-//! An owner's own view of a backend server's health.
+//! An owner's circuit breaker for one backend server.
 //!
-//! Pattern: a backend server hangs or fails while its reports, and the platform's list, still call
-//! it well; or they call it ill while it serves. Without this module each sub-request that is sent
-//! there waits out its deadline. What the server does outweighs what is said of it: a row of
-//! failures stops its work for a pause that doubles up to a bound, then one request at a time
-//! tries it. Its own word that it is leaving stops new work, and is forgotten after a while, so
-//! that a false one does not take a replica away for good.
+//! Pattern: a backend server hangs or fails while its reports and the platform's list still call it
+//! healthy, or they call it unhealthy while it serves. Without this module each sub-request that is
+//! sent there waits until its deadline. Observed results take precedence over reports: a series of
+//! consecutive failures stops the server's work for a pause that doubles up to a maximum, after
+//! which one request at a time probes it. A server's own report that it is leaving stops new work
+//! but expires after a while, so that a false report does not remove a replica for ever.
 //!
-//! Figures: three failures in a row happen by chance once in a million requests at 1% failures. A
-//! quarter of a second is two query deadlines; four seconds bound what a recovered server loses.
+//! Defaults: at 1% failures, three in a row happen by chance once in a million requests. The first
+//! pause, a quarter of a second, is two query deadlines; the maximum of four seconds bounds how
+//! long a recovered server stays unused.
 
 use lentillift_core::time::Time;
 use lentillift_settings::policy::Health as Options;
 use lentillift_settings::policy::millis;
 use std::time::Duration;
 
-/// What a backend server may get now.
+/// State of the circuit breaker: what a backend server may get now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// All that its limits allow.
+pub enum State {
+    /// Closed: all that its limits allow.
     Serve,
-    /// One request at a time, to see how it does.
+    /// Half-open: one request at a time.
     Probe,
-    /// Nothing.
+    /// Open: nothing.
     Stop,
 }
 
-/// What a result did to the view.
+/// Effect of a result on the circuit breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// Nothing.
     Same,
-    /// The server gets nothing for a while.
+    /// The server gets nothing until the pause is over.
     Paused,
-    /// The server is held to be well again.
+    /// The server has recovered from a pause.
     Well,
 }
 
-/// An owner's own view of a backend server's health.
+/// An owner's circuit breaker for one backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Health {
-    failures: u32,
-    /// The last pause's end and length, until a success.
+    consecutive_failures: u32,
+    /// End and length of the last pause; `None` after a success.
     pause: Option<(Time, Duration)>,
-    /// When the server last said that it is leaving.
+    /// When the server last reported that it is leaving; `None` once it reports otherwise.
     leaving: Option<Time>,
 }
 
 impl Health {
     /// What the server may get now.
-    pub fn next(&self, options: &Options, now: Time) -> Next {
+    pub fn state(&self, options: &Options, now: Time) -> State {
         if !options.on {
-            return Next::Serve;
+            return State::Serve;
         }
-        if let Some(said) = self.leaving {
-            return match now < said + millis(options.leaving_ms) {
-                true => Next::Stop,
-                false => Next::Probe,
+        if let Some(reported_at) = self.leaving {
+            return match now < reported_at + millis(options.leaving_ms) {
+                true => State::Stop,
+                false => State::Probe,
             };
         }
         match self.pause {
-            None => Next::Serve,
-            Some((until, _)) if now < until => Next::Stop,
-            Some(_) => Next::Probe,
+            None => State::Serve,
+            Some((until, _)) if now < until => State::Stop,
+            Some(_) => State::Probe,
         }
     }
 
-    /// Whether the server said last that it is leaving.
+    /// Whether the server's last report said that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.is_some()
     }
 
-    /// Takes in a request that succeeded.
-    pub fn success(&mut self) -> Change {
-        self.failures = 0;
+    /// Records a request that succeeded.
+    pub fn record_success(&mut self) -> Change {
+        self.consecutive_failures = 0;
         match self.pause.take() {
             Some(_) => Change::Well,
             None => Change::Same,
         }
     }
 
-    /// Takes in a request that failed through the server.
-    pub fn failure(&mut self, options: &Options, now: Time) -> Change {
-        self.failures = self.failures.saturating_add(1);
-        if !options.on || self.failures < options.failures {
+    /// Records a request whose failure was the server's fault.
+    pub fn record_failure(&mut self, options: &Options, now: Time) -> Change {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if !options.on || self.consecutive_failures < options.failures {
             return Change::Same;
         }
-        let most = millis(options.most_pause_ms);
+        let max_pause = millis(options.most_pause_ms);
         let length = match self.pause {
-            // Results of requests that were sent before the pause do not lengthen it.
+            // Failures of requests that were sent before the pause do not extend it.
             Some((until, _)) if now < until => return Change::Same,
-            Some((_, last)) => (last * 2).min(most),
-            None => millis(options.pause_ms).min(most),
+            Some((_, last)) => (last * 2).min(max_pause),
+            None => millis(options.pause_ms).min(max_pause),
         };
         self.pause = Some((now + length, length));
         Change::Paused
     }
 
-    /// Takes in whether the server says that it is leaving; says if that is new.
-    pub fn note_leaving(&mut self, now: Time, leaving: bool) -> bool {
+    /// Records whether the server reports that it is leaving; returns whether that is new.
+    pub fn record_leaving(&mut self, now: Time, leaving: bool) -> bool {
         let before = self.leaving;
         self.leaving = leaving.then_some(now);
         leaving && before.is_none()
--- a/crates/lentillift-policy/src/queue.rs
+++ b/crates/lentillift-policy/src/queue.rs
@@ -1,24 +1,24 @@
-//! Which sub-request a backend server gets next.
+//! Scheduling: which sub-request a backend server gets next.
 //!
 //! Patterns: a burst, a hot caller, long requests among short ones. Without this module requests
-//! go in the order of their arrival: a burst is served late in full, since each waits behind those
-//! whose callers have given up; one caller's flood delays all others; long requests take all slots
-//! and short ones wait for seconds.
+//! are sent in order of arrival: a burst is served late as a whole, because each request waits
+//! behind others whose callers have given up; one caller's flood delays all others; long requests
+//! occupy all slots, and short ones wait for seconds.
 //!
 //! - The class with the lowest rank goes first.
 //! - Within a class, callers share by weight. Start-time fair queueing gives the bounds of deficit
-//!   round robin, and finds the next caller in logarithmic time also when one request costs a
+//!   round robin, and finds the next caller in logarithmic time even when one request costs a
 //!   thousand quanta.
-//! - A request leaves when it expires, whether or not a slot is free; what can't be served before
-//!   its expiry is not taken in at all ([`Queue::ahead`]).
-//! - Long requests, and those of a caller that has had far more than its share lately, leave one
-//!   slot to the others ([`Slot::Reserved`]), who would else wait for their end.
+//! - A request leaves the queue when it expires, whether or not a slot is free; one that cannot be
+//!   served before its expiry is not queued at all ([`Queue::work_ahead`]).
+//! - One slot is kept free of long requests and of callers that recently had far more than their
+//!   share ([`Slot::Reserved`]); other requests would have to wait for these to finish.
 //!
-//! Figures: with 2 slots the reserved one is half of the capacity, which only those lose who take
-//! more than the others; a caller is far over its share from one and a half times it, which two callers with the
-//! same weight reach when one has three quarters.
+//! Defaults: with 2 slots the reserved one is half of the capacity, which only callers that take
+//! more than the others lose. A caller is far over its share from one and a half times it; of two
+//! callers with equal weights, one with three quarters of the usage reaches that.
 //!
-//! The length is bounded by time: whoever arrives is told at once if its turn would come too late.
+//! The length is bounded by time: a request that would be served too late is refused on arrival.
 
 use crate::share::Shares;
 use lentillift_core::id;
@@ -29,48 +29,48 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Callers that are looked at for the reserved slot; with more of them none is far over its share.
-const LANES: usize = 8;
+/// Callers that are examined for the reserved slot; with more of them none is far over its share.
+const RESERVED_SLOT_CALLERS: usize = 8;
 
-/// Number of a request; later ones have higher numbers.
+/// Number of a request, in order of arrival.
 pub type Ticket = u64;
 
-/// The free slot that a request is wanted for.
+/// Kind of the free slot that a request is taken for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Slot {
-    /// One that anything may have.
+    /// A slot that any request may have.
     Open,
-    /// The last one that is left to short requests of callers within their shares.
+    /// The last slot, kept for short requests of callers within their shares.
     Reserved,
 }
 
-/// A request whose turn it is.
+/// A request taken from the queue.
 #[derive(Debug)]
-pub struct Turn<T> {
+pub struct Dequeued<T> {
     /// Its number.
     pub ticket: Ticket,
-    /// What the queue was told of it.
+    /// The scheduling parameters it was queued with.
     pub job: Job,
     /// The request.
     pub item: T,
-    /// Whether it is long, or its caller far over its share.
+    /// Whether it is long, or its caller is far over its share.
     pub heavy: bool,
 }
 
-/// What the queue needs to know of a request.
+/// Scheduling parameters of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
     /// Rank of its class; 0 goes first.
     pub rank: u8,
-    /// Its caller.
+    /// The caller whose share it counts towards.
     pub caller: id::Caller,
     /// The caller's weight; 0 counts as 1.
     pub weight: u32,
-    /// Time that it is expected to take.
+    /// Expected time that it occupies a slot, on a server at its baseline.
     pub cost: Duration,
-    /// Whether it is long beside the others.
+    /// Whether it takes far longer than the service's median.
     pub long: bool,
-    /// When it is of no more use to start it.
+    /// Latest time at which it is useful to start it.
     pub expiry: Time,
 }
 
@@ -81,12 +81,12 @@
     item: T,
 }
 
-/// Requests of one caller.
+/// Requests of one caller in one class.
 #[derive(Debug)]
-struct Lane<T> {
+struct CallerQueue<T> {
     waiting: BTreeMap<Ticket, Waiting<T>>,
     weight: u32,
-    /// Virtual time at which its first request starts.
+    /// Virtual start time of its first request, in microseconds of cost per unit of weight.
     start: u64,
     /// Cost of all its requests.
     work: Duration,
@@ -94,20 +94,21 @@
 
 /// Requests of one class.
 #[derive(Debug)]
-struct Band<T> {
-    lanes: HashMap<id::Caller, Lane<T>>,
-    /// Lanes by virtual start, those with a short request first in line apart from the others.
+struct ClassQueue<T> {
+    callers: HashMap<id::Caller, CallerQueue<T>>,
+    /// Callers by virtual start time, in two sets by whether their first request is long.
     short: BTreeSet<(u64, id::Caller)>,
     long: BTreeSet<(u64, id::Caller)>,
-    /// Lanes without a request whose start lies ahead of `clock`.
+    /// Callers without a request whose virtual start time is after `virtual_time`.
     ///
-    /// Were they forgotten, a caller that sends its next request as soon as the last one was taken
-    /// would start at the clock again and again, and all others would wait for ever.
+    /// If they were removed at once, a caller that sends its next request as soon as its last one
+    /// is taken would start at the current virtual time each time, and starve all others.
     idle: BTreeSet<(u64, id::Caller)>,
-    /// Virtual time: the start of the request that was taken last.
-    clock: u64,
+    /// Virtual start time of the request that was taken last.
+    virtual_time: u64,
+    /// Cost of all requests.
     work: Duration,
-    /// Weight of all lanes with a request.
+    /// Weight of all callers with a request.
     weight: u64,
     shares: Shares,
 }
@@ -115,19 +116,21 @@
 /// Requests that wait for a slot of one backend server.
 #[derive(Debug)]
 pub struct Queue<T> {
-    bands: BTreeMap<u8, Band<T>>,
-    places: HashMap<Ticket, (u8, id::Caller)>,
+    /// Requests by rank.
+    classes: BTreeMap<u8, ClassQueue<T>>,
+    /// Rank and caller of each request.
+    locations: HashMap<Ticket, (u8, id::Caller)>,
     expiries: BTreeSet<(Time, Ticket)>,
 }
 
-impl<T> Default for Band<T> {
+impl<T> Default for ClassQueue<T> {
     fn default() -> Self {
         Self {
-            lanes: HashMap::new(),
+            callers: HashMap::new(),
             short: BTreeSet::new(),
             long: BTreeSet::new(),
             idle: BTreeSet::new(),
-            clock: 0,
+            virtual_time: 0,
             work: Duration::ZERO,
             weight: 0,
             shares: Shares::default(),
@@ -138,37 +141,37 @@
 impl<T> Default for Queue<T> {
     fn default() -> Self {
         Self {
-            bands: BTreeMap::new(),
-            places: HashMap::new(),
+            classes: BTreeMap::new(),
+            locations: HashMap::new(),
             expiries: BTreeSet::new(),
         }
     }
 }
 
-impl<T> Lane<T> {
+impl<T> CallerQueue<T> {
     fn first_is_long(&self) -> bool {
         self.waiting.values().next().is_some_and(|w| w.job.long)
     }
 }
 
-impl<T> Band<T> {
-    /// Takes a lane out of the order; to be called before its start or first request changes.
+impl<T> ClassQueue<T> {
+    /// Removes a caller from the ordered sets; required before its start or first request changes.
     fn unlink(&mut self, caller: &id::Caller) {
-        if let Some(lane) = self.lanes.get(caller) {
-            let key = (lane.start, caller.clone());
+        if let Some(queue) = self.callers.get(caller) {
+            let key = (queue.start, caller.clone());
             self.short.remove(&key);
             self.long.remove(&key);
             self.idle.remove(&key);
         }
     }
 
-    /// Puts a lane into the order again.
+    /// Inserts a caller into the ordered set it belongs to.
     fn link(&mut self, caller: &id::Caller) {
-        let Some(lane) = self.lanes.get(caller) else {
+        let Some(queue) = self.callers.get(caller) else {
             return;
         };
-        let key = (lane.start, caller.clone());
-        let order = match (lane.waiting.is_empty(), lane.first_is_long()) {
+        let key = (queue.start, caller.clone());
+        let order = match (queue.waiting.is_empty(), queue.first_is_long()) {
             (true, _) => &mut self.idle,
             (false, true) => &mut self.long,
             (false, false) => &mut self.short,
@@ -176,8 +179,8 @@
         order.insert(key);
     }
 
-    /// Forgets lanes without a request that have no debt left.
-    fn forget(&mut self) {
+    /// Removes callers without a request once the virtual time has reached their start.
+    fn remove_idle(&mut self) {
         if self.weight == 0 {
             *self = Self {
                 shares: std::mem::take(&mut self.shares),
@@ -185,10 +188,10 @@
             };
         }
         while let Some((start, _)) = self.idle.first()
-            && *start <= self.clock
+            && *start <= self.virtual_time
             && let Some((_, caller)) = self.idle.pop_first()
         {
-            self.lanes.remove(&caller);
+            self.callers.remove(&caller);
         }
     }
 
@@ -196,70 +199,76 @@
         let caller = job.caller.clone();
         self.unlink(&caller);
         self.work += job.cost;
-        let lane = self.lanes.entry(caller.clone()).or_insert_with(|| Lane {
-            waiting: BTreeMap::new(),
-            weight: 0,
-            // A caller that was away has no claim to the time it did not use.
-            start: self.clock,
-            work: Duration::ZERO,
-        });
-        if lane.waiting.is_empty() {
-            lane.weight = job.weight.max(1);
-            self.weight += u64::from(lane.weight);
+        let queue = self
+            .callers
+            .entry(caller.clone())
+            .or_insert_with(|| CallerQueue {
+                waiting: BTreeMap::new(),
+                weight: 0,
+                // A caller gets no credit for time in which it had no requests.
+                start: self.virtual_time,
+                work: Duration::ZERO,
+            });
+        if queue.waiting.is_empty() {
+            queue.weight = job.weight.max(1);
+            self.weight += u64::from(queue.weight);
         }
-        lane.work += job.cost;
-        lane.waiting.insert(ticket, Waiting { job, item });
+        queue.work += job.cost;
+        queue.waiting.insert(ticket, Waiting { job, item });
         self.link(&caller);
     }
 
     fn remove(&mut self, caller: &id::Caller, ticket: Ticket) -> Option<Waiting<T>> {
         self.unlink(caller);
-        let lane = self.lanes.get_mut(caller)?;
-        let waiting = lane.waiting.remove(&ticket);
+        let queue = self.callers.get_mut(caller)?;
+        let waiting = queue.waiting.remove(&ticket);
         if let Some(waiting) = &waiting {
-            lane.work = lane.work.saturating_sub(waiting.job.cost);
+            queue.work = queue.work.saturating_sub(waiting.job.cost);
             self.work = self.work.saturating_sub(waiting.job.cost);
-            if lane.waiting.is_empty() {
-                self.weight -= u64::from(lane.weight);
+            if queue.waiting.is_empty() {
+                self.weight -= u64::from(queue.weight);
             }
         }
         self.link(caller);
         waiting
     }
 
-    /// The caller whose turn it is.
-    fn turn(&self, now: Time, slot: Slot, excess: f64) -> Option<id::Caller> {
+    /// The caller with the earliest virtual start time that may have `slot`.
+    fn next_caller(&self, now: Time, slot: Slot, max_excess: f64) -> Option<id::Caller> {
         let short = self.short.first();
         let next = match slot {
             Slot::Open => short.into_iter().chain(self.long.first()).min(),
             Slot::Reserved => {
-                let within = |(_, caller): &&(u64, id::Caller)| {
-                    excess <= 0.0 || self.shares.excess(now, caller) < excess
+                let within_share = |(_, caller): &&(u64, id::Caller)| {
+                    max_excess <= 0.0 || self.shares.excess(now, caller) < max_excess
                 };
-                self.short.iter().take(LANES).find(within)
+                self.short
+                    .iter()
+                    .take(RESERVED_SLOT_CALLERS)
+                    .find(within_share)
             }
         };
         next.map(|(_, caller)| caller.clone())
     }
 
-    fn pop(&mut self, now: Time, slot: Slot, excess: f64) -> Option<Turn<T>> {
-        let caller = self.turn(now, slot, excess)?;
-        let over = excess > 0.0 && self.shares.excess(now, &caller) >= excess;
-        let lane = self.lanes.get(&caller)?;
-        let ticket = *lane.waiting.first_key_value()?.0;
-        self.clock = lane.start;
+    fn pop(&mut self, now: Time, slot: Slot, max_excess: f64) -> Option<Dequeued<T>> {
+        let caller = self.next_caller(now, slot, max_excess)?;
+        let over_share = max_excess > 0.0 && self.shares.excess(now, &caller) >= max_excess;
+        let queue = self.callers.get(&caller)?;
+        let ticket = *queue.waiting.first_key_value()?.0;
+        self.virtual_time = queue.start;
         let waiting = self.remove(&caller, ticket)?;
         self.unlink(&caller);
-        if let Some(lane) = self.lanes.get_mut(&caller) {
+        if let Some(queue) = self.callers.get_mut(&caller) {
             let cost = waiting.job.cost.as_micros().max(1) as u64;
-            lane.start += (cost / u64::from(lane.weight)).max(1);
-            self.shares.note(now, &caller, lane.weight, cost as f64);
+            queue.start += (cost / u64::from(queue.weight)).max(1);
+            self.shares.record(now, &caller, queue.weight, cost as f64);
         }
         self.link(&caller);
-        self.forget();
-        Some(Turn {
+        self.remove_idle();
+        Some(Dequeued {
             ticket,
-            heavy: waiting.job.long || over,
+            heavy: waiting.job.long || over_share,
             job: waiting.job,
             item: waiting.item,
         })
@@ -267,47 +276,48 @@
 }
 
 impl<T> Queue<T> {
-    /// Appends a request.
+    /// Adds a request.
     pub fn push(&mut self, ticket: Ticket, job: Job, item: T) {
-        self.places.insert(ticket, (job.rank, job.caller.clone()));
+        self.locations
+            .insert(ticket, (job.rank, job.caller.clone()));
         self.expiries.insert((job.expiry, ticket));
-        let band = self.bands.entry(job.rank).or_default();
-        band.push(ticket, job, item);
+        let class = self.classes.entry(job.rank).or_default();
+        class.push(ticket, job, item);
     }
 
-    /// Takes the next request to send.
-    pub fn pop(&mut self, options: &Options, now: Time, slot: Slot) -> Option<Turn<T>> {
-        let excess = f64::from(options.excess_percent) / 100.0;
-        let mut bands = self.bands.values_mut();
-        let turn = bands.find_map(|band| band.pop(now, slot, excess))?;
-        self.places.remove(&turn.ticket);
-        self.expiries.remove(&(turn.job.expiry, turn.ticket));
-        Some(turn)
+    /// Takes the next request to send to `slot`.
+    pub fn pop(&mut self, options: &Options, now: Time, slot: Slot) -> Option<Dequeued<T>> {
+        let max_excess = f64::from(options.excess_percent) / 100.0;
+        let mut classes = self.classes.values_mut();
+        let next = classes.find_map(|class| class.pop(now, slot, max_excess))?;
+        self.locations.remove(&next.ticket);
+        self.expiries.remove(&(next.job.expiry, next.ticket));
+        Some(next)
     }
 
-    /// Takes out all requests.
+    /// Removes all requests and returns them in order of arrival.
     pub fn drain(&mut self) -> Vec<T> {
         let queue = std::mem::take(self);
-        let lanes = queue
-            .bands
+        let callers = queue
+            .classes
             .into_values()
-            .flat_map(|band| band.lanes.into_values());
-        let waiting = lanes.flat_map(|lane| lane.waiting);
+            .flat_map(|class| class.callers.into_values());
+        let waiting = callers.flat_map(|caller| caller.waiting);
         let waiting: BTreeMap<Ticket, Waiting<T>> = waiting.collect();
         waiting.into_values().map(|waiting| waiting.item).collect()
     }
 
-    /// Takes out a request.
+    /// Removes a request; `None` if it is not in the queue.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
-        let (rank, caller) = self.places.remove(&ticket)?;
-        let band = self.bands.get_mut(&rank)?;
-        let waiting = band.remove(&caller, ticket)?;
-        band.forget();
+        let (rank, caller) = self.locations.remove(&ticket)?;
+        let class = self.classes.get_mut(&rank)?;
+        let waiting = class.remove(&caller, ticket)?;
+        class.remove_idle();
         self.expiries.remove(&(waiting.job.expiry, ticket));
         Some(waiting.item)
     }
 
-    /// Takes out a request whose expiry has come.
+    /// Removes the request that expired first, if any has.
     pub fn pop_expired(&mut self, now: Time) -> Option<(Ticket, T)> {
         let (expiry, ticket) = *self.expiries.first()?;
         if expiry > now {
@@ -321,32 +331,34 @@
         self.expiries.first().map(|(expiry, _)| *expiry)
     }
 
-    /// Work that goes before a request which is not in the queue yet.
+    /// Work that is served before a request that is not in the queue yet, in slot time.
     ///
-    /// That is all of better classes, and of its own class what the shares allow: at most as much
-    /// as waits, and at most its own lane's work times the reciprocal of its share.
+    /// That is all work of better classes, and of the request's own class as much as fair queueing
+    /// allows: at most the work that waits there, and at most the work of the caller's own queue
+    /// divided by its share.
     pub fn work_ahead(&self, job: &Job) -> Duration {
-        let better = self.bands.range(..job.rank);
-        let better: Duration = better.map(|(_, band)| band.work).sum();
-        let Some(band) = self.bands.get(&job.rank) else {
+        let better = self.classes.range(..job.rank);
+        let better: Duration = better.map(|(_, class)| class.work).sum();
+        let Some(class) = self.classes.get(&job.rank) else {
             return better;
         };
-        let lane = band.lanes.get(&job.caller);
-        let lane = lane.filter(|lane| !lane.waiting.is_empty());
-        let own = lane.map_or(Duration::ZERO, |lane| lane.work);
-        let mine = f64::from(lane.map_or(job.weight.max(1), |lane| lane.weight));
-        let all = band.weight as f64 + if lane.is_none() { mine } else { 0.0 };
-        let fair = own.mul_f64(all / mine) + job.cost.mul_f64(all / mine - 1.0);
-        better + band.work.min(fair)
+        let queue = class.callers.get(&job.caller);
+        let queue = queue.filter(|queue| !queue.waiting.is_empty());
+        let own_work = queue.map_or(Duration::ZERO, |queue| queue.work);
+        let own_weight = f64::from(queue.map_or(job.weight.max(1), |queue| queue.weight));
+        let all_weights = class.weight as f64 + if queue.is_none() { own_weight } else { 0.0 };
+        let fair = own_work.mul_f64(all_weights / own_weight)
+            + job.cost.mul_f64(all_weights / own_weight - 1.0);
+        better + class.work.min(fair)
     }
 
-    /// How many requests wait.
+    /// Number of requests that wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 }
--- a/crates/lentillift-policy/tests/invariants.rs
+++ b/crates/lentillift-policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What the decisions promise whatever happens.
+//! Properties of the policies that hold for any sequence of events.
 
 use lentillift_core::id;
 use lentillift_core::outcome::Outcome;
@@ -22,8 +22,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Extra requests that a budget holds before any has been earned.
-const FIRST: u64 = 10;
+/// Extra requests that a budget allows before any has been earned.
+const INITIAL_BUDGET: u64 = 10;
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -52,8 +52,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A fault makes every sub-request slow. Unbounded hedges would double the load on servers that
-    /// are in trouble already.
+    /// A fault makes every sub-request slow. Without a bound, hedges would double the load on
+    /// servers that are slow already.
     #[test]
     fn hedges_stay_within_their_budget(slow in prop::collection::vec(any::<bool>(), 1..2000)) {
         let options = Policy::default().hedge;
@@ -65,12 +65,12 @@
             if slow && hedges.decide(false) == hedge::Decision::Send {
                 extra += 1;
             }
-            prop_assert!(100 * extra <= 100 * FIRST + u64::from(options.budget_percent) * sent);
+            prop_assert!(100 * extra <= 100 * INITIAL_BUDGET + u64::from(options.budget_percent) * sent);
         }
     }
 
-    /// Every sub-request fails. Unbounded retries would keep the overload going after its cause is
-    /// gone.
+    /// Every sub-request fails. Without a bound, retries would keep up the overload after its cause
+    /// is gone.
     #[test]
     fn retries_stay_within_their_budget(refused in prop::collection::vec(any::<bool>(), 1..2000)) {
         let options = Policy::default().retry;
@@ -86,14 +86,13 @@
                 tries: 1,
             };
             extra += u64::from(retries.decide(&options, &failed) == retry::Decision::Retry);
-            prop_assert!(100 * extra <= 100 * FIRST + u64::from(options.budget_percent) * sent);
+            prop_assert!(100 * extra <= 100 * INITIAL_BUDGET + u64::from(options.budget_percent) * sent);
         }
     }
 
-    /// A request that may not be repeated and may have run fails. Sending it again could file a
-    /// notice twice.
+    /// A request that is not idempotent fails and may have run. A retry could file a notice twice.
     #[test]
-    fn what_may_have_run_is_never_repeated(tries in 0_u32..4, on in any::<bool>()) {
+    fn unsafe_requests_are_never_retried(tries in 0_u32..4, on in any::<bool>()) {
         let mut options = Policy::default().retry;
         options.on = on;
         for outcome in [Outcome::Unknown, Outcome::Done] {
@@ -107,10 +106,11 @@
         }
     }
 
-    /// Requests arrive, are cancelled, expire and are taken in any order. One that is lost is never
-    /// answered; one that comes out twice runs twice; one that comes out late serves nobody.
+    /// Requests arrive, are cancelled, expire and are taken in any order. A request that the queue
+    /// loses is never answered, one that it returns twice runs twice, and one that it returns after
+    /// its expiry wastes a slot.
     #[test]
-    fn queue_gives_each_request_once_and_in_time(
+    fn queue_returns_each_request_once_and_in_time(
         steps in prop::collection::vec((0_u8..5, 0_u8..3, 0_u8..4, 1_u64..50), 1..300),
     ) {
         let options = Policy::default().queue;
@@ -130,11 +130,11 @@
                         let job = waiting.remove(&ticket);
                         prop_assert!(job.is_some_and(|job| job.expiry <= now));
                     }
-                    if let Some(turn) = queue.pop(&options, now, Slot::Open) {
-                        prop_assert_eq!(turn.ticket, turn.item);
-                        let job = waiting.remove(&turn.ticket);
+                    if let Some(next) = queue.pop(&options, now, Slot::Open) {
+                        prop_assert_eq!(next.ticket, next.item);
+                        let job = waiting.remove(&next.ticket);
                         prop_assert!(job.is_some_and(|job| job.expiry > now));
-                        prop_assert!(waiting.values().all(|other| other.rank >= turn.job.rank));
+                        prop_assert!(waiting.values().all(|other| other.rank >= next.job.rank));
                     }
                 }
                 3 => {
@@ -151,10 +151,10 @@
         prop_assert_eq!(queue.drain(), waiting.into_keys().collect::<Vec<_>>());
     }
 
-    /// Callers of one class all want more than there is. One that gets nothing for longer than the
-    /// others' shares explain would see its requests die in the queue.
+    /// All callers of one class have requests waiting throughout. If one of them got less than its
+    /// share by weight, its requests would expire in the queue.
     #[test]
-    fn callers_with_work_get_their_shares(costs in prop::collection::vec(1_u64..20, 4)) {
+    fn callers_with_waiting_requests_get_their_shares(costs in prop::collection::vec(1_u64..20, 4)) {
         let mut options = Policy::default().queue;
         options.excess_percent = 0;
         let mut queue = Queue::default();
@@ -168,11 +168,11 @@
             push(&mut queue, caller);
         }
         for _ in 0..400 {
-            let Some(turn) = queue.pop(&options, Time::ZERO, Slot::Open) else {
+            let Some(next) = queue.pop(&options, Time::ZERO, Slot::Open) else {
                 break;
             };
-            *served.entry(turn.item).or_insert(0_u64) += costs[usize::from(turn.item)];
-            push(&mut queue, turn.item);
+            *served.entry(next.item).or_insert(0_u64) += costs[usize::from(next.item)];
+            push(&mut queue, next.item);
         }
         let most = *costs.iter().max().unwrap_or(&1);
         let share = |caller: u8| served.get(&caller).copied().unwrap_or(0) / (u64::from(caller) + 1);
@@ -181,34 +181,34 @@
         }
     }
 
-    /// Replies are quick and slow, the server chills and the published limit changes. A limit
-    /// above what is published would overload the server.
+    /// Replies are quick or slow, the server goes cold and the published limit changes. A limit
+    /// above the published one would overload the server.
     #[test]
-    fn limits_stay_within_what_is_published(
+    fn limits_stay_within_the_published_limit(
         steps in prop::collection::vec((0_u8..4, 0_u32..2000), 1..300),
     ) {
         let policy = Policy::default();
         let mut slots = Slots::new(3);
         let mut warmup = Warmup::new(&policy.warmup, 1, 3);
         let mut ceiling = 3;
-        for (step, figure) in steps {
+        for (step, value) in steps {
             match step {
                 0 => {
-                    ceiling = 1 + figure % 4;
+                    ceiling = 1 + value % 4;
                     slots.set_ceiling(ceiling);
                     warmup.set_limits(&policy.warmup, 1, ceiling);
                 }
                 1 => {
-                    warmup.chill(&policy.warmup);
+                    warmup.reset_to_cold(&policy.warmup);
                     prop_assert_eq!(warmup.limit(), 1);
                 }
                 2 => {
                     let before = warmup.limit();
-                    warmup.success(&policy.warmup);
+                    warmup.record_success(&policy.warmup);
                     prop_assert!(warmup.limit() <= before + 1);
                 }
                 _ => {
-                    slots.note(&policy.slots, figure);
+                    slots.record(&policy.slots, value);
                 }
             }
             prop_assert!((1..=ceiling).contains(&slots.limit()));
@@ -216,34 +216,35 @@
         }
     }
 
-    /// A stranger asks under a new name each time. State for each name would fill the memory.
+    /// A client sends each request under a new caller name. State for every name would exhaust the
+    /// memory.
     #[test]
-    fn invented_names_take_bounded_state(names in 5000_u32..20_000) {
+    fn state_for_invented_callers_is_bounded(names in 5000_u32..20_000) {
         let mut shares = Shares::default();
         for name in 0..names {
-            shares.note(Duration::from_micros(name.into()), &name.to_string().into(), 1, 1.0);
+            shares.record(Duration::from_micros(name.into()), &name.to_string().into(), 1, 1.0);
         }
         prop_assert!(shares.len() <= 4096);
     }
 
-    /// The service is overloaded for a while. A gate that stays shut after it would refuse callers
-    /// for nothing.
+    /// The service is overloaded for a while. A rate limit that stayed in force afterwards would
+    /// refuse queries without need.
     #[test]
-    fn gate_opens_after_an_overload(windows in 1_u64..40, rate in 1_u64..50) {
+    fn rate_limit_ends_after_an_overload(windows in 1_u64..40, rate in 1_u64..50) {
         let options = Policy::default().admission;
         let mut admission = Admission::default();
-        let ask = admission::Request { rank: 2, caller: caller(0), weight: 1, cost: 68 };
+        let request = admission::Request { rank: 2, caller: caller(0), weight: 1, cost: 68 };
         let mut now = Time::ZERO;
         for _ in 0..windows * rate {
-            admission.decide(&options, now, &ask);
-            let done = admission::Completion { rank: 2, answered: 30, refused: true };
-            admission.record_completion(&options, now, &done);
+            admission.decide(&options, now, &request);
+            let completion = admission::Completion { rank: 2, answered: 30, refused: true };
+            admission.record_completion(&options, now, &completion);
             now += Duration::from_millis(100) / rate as u32;
         }
         for _ in 0..150 {
             now += Duration::from_millis(100);
-            admission.decide(&options, now, &ask);
+            admission.decide(&options, now, &request);
         }
-        prop_assert!(!admission.is_gated());
+        prop_assert!(!admission.is_limited());
     }
 }
