--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -1,11 +1,11 @@
-//! All backend servers that this process owns.
+//! State machine of all backend servers that this process owns.
 
-mod hold;
-mod intake;
-mod refit;
-mod settle;
+mod admit;
+mod lease;
+mod result;
+mod view_change;
 
-use crate::queue::Flight;
+use crate::queue::InFlight;
 use crate::queue::Waiting;
 use crate::server::Change;
 use crate::server::Server;
@@ -30,10 +30,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub use hold::HandoverState;
+pub use lease::HandoverState;
 pub use lentillift_policy::queue::Ticket;
 
-/// What happens to an owner.
+/// Input of an owner.
 #[derive(Debug)]
 pub enum Event {
     /// An entry sent a sub-request.
@@ -43,20 +43,20 @@
         /// The sub-request.
         sub: Sub,
     },
-    /// An entry no longer wants a sub-request.
+    /// An entry no longer needs a sub-request.
     Cancel {
         /// The host whose entry sent it.
         from: id::Host,
         /// The sub-request's number there.
         id: id::Sub,
     },
-    /// A backend server answered, or failed to.
+    /// A request to a backend server has a result.
     Done {
         /// The request's number.
         ticket: Ticket,
-        /// What came of it.
+        /// Its result.
         result: sub::Result,
-        /// What the backend server reported with it.
+        /// The backend server's report that came with it.
         report: Report,
     },
     /// Time passed.
@@ -67,19 +67,19 @@
     Hold {
         /// The backend server.
         backend: id::Backend,
-        /// What may be done with it.
+        /// What the lease allows now.
         hold: Hold,
     },
-    /// This process has got a lease on a backend server that it had none on.
+    /// This process acquired a lease on a backend server that it had none on.
     Acquired {
         /// The backend server.
         backend: id::Backend,
-        /// What the holder before passed on, if it handed over.
+        /// What the previous holder passed on; `None` without a hand-over.
         transfer: Option<Transfer>,
     },
 }
 
-/// What an owner wants done.
+/// Output of an owner, to be carried out by the process.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a sub-request to its backend server.
@@ -88,21 +88,21 @@
         ticket: Ticket,
         /// The sub-request.
         sub: Sub,
-        /// Time left until its reply is of no more use.
+        /// Timeout of the request.
         left: Duration,
     },
-    /// Tell a backend server that a request's reply is of no more use.
+    /// Cancel a request at its backend server.
     Cancel {
         /// The request's number.
         ticket: Ticket,
         /// The backend server.
         backend: id::Backend,
     },
-    /// Answer an entry.
+    /// Send a sub-request's result to its entry.
     Reply {
         /// The host that sent the sub-request.
         to: id::Host,
-        /// The desk there.
+        /// The part of that host's process that waits for the result.
         desk: Desk,
         /// The sub-request's number there.
         id: id::Sub,
@@ -111,16 +111,16 @@
         /// The backend server's load, if it is owned here.
         load: Option<Load>,
     },
-    /// Pass a sub-request on to the host that holds its backend server.
+    /// Forward a sub-request to the host that holds its backend server.
     Forward {
         /// The host that holds it.
         to: id::Host,
         /// The host whose entry sent the sub-request.
         from: id::Host,
-        /// The sub-request, with the time that it has left.
+        /// The sub-request, its allowance reduced to the time left.
         sub: Sub,
     },
-    /// Tell operators of a change of state.
+    /// Report a change of state to operators.
     Note {
         /// The backend server.
         backend: id::Backend,
@@ -135,31 +135,32 @@
     view: Arc<View>,
     config: Option<Arc<Config>>,
     policy: Policy,
-    /// What the leases of this process allow; what is not here may not be touched.
+    /// What the leases of this process allow; no work may be sent to a backend server without an
+    /// entry.
     holds: HashMap<id::Backend, Hold>,
-    /// When the last requests sent to each backend server are over.
-    ends: HashMap<id::Backend, Time>,
-    // INVARIANT: Holds no server that this process has no lease on, but for those with a request in
+    /// Latest end of the requests sent to each backend server.
+    last_ends: HashMap<id::Backend, Time>,
+    // INVARIANT: Holds no server that this process has no lease on, except those with a request in
     // flight.
     servers: HashMap<id::Backend, Server>,
     costs: HashMap<id::Service, Costs>,
-    flights: HashMap<Ticket, Flight>,
-    /// Queries' sub-requests that wait, by backend server, or are in flight.
-    // INVARIANT: As long as the sub-requests that wait or are in flight, at most.
+    in_flight: HashMap<Ticket, InFlight>,
+    /// Tickets of queries' sub-requests that wait or are in flight, for cancellation.
+    // INVARIANT: At most as long as the sub-requests that wait or are in flight.
     tickets: HashMap<(id::Host, id::Sub), (Ticket, id::Backend)>,
-    /// When queues next want attention.
+    /// When the queue of each backend server must next be processed.
     wakes: BTreeSet<(Time, id::Backend)>,
     next_ticket: Ticket,
     counts: Counts,
 }
 
 impl Owner {
-    /// Starts without a view and without leases, hence owning nothing.
+    /// Starts without a view and without leases; owns nothing until it has both.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in an event and says what to do about it.
+    /// Handles an event; returns the effects to carry out, in this order.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         match event {
             Event::Sub { from, sub } => self.accept(now, from, sub),
@@ -168,12 +169,12 @@
                 ticket,
                 result,
                 report,
-            } => self.done(now, ticket, result, &report),
+            } => self.finish(now, ticket, result, &report),
             Event::Tick => self.tick(now),
-            Event::View(view) => self.refit(now, view),
+            Event::View(view) => self.set_view(now, view),
             Event::Hold { backend, hold } => self.set_hold(now, &backend, hold),
             Event::Acquired { backend, transfer } => {
-                self.adopt(now, &backend, transfer);
+                self.start_lease(now, &backend, transfer);
                 Vec::new()
             }
         }
@@ -189,7 +190,7 @@
         self.servers.iter()
     }
 
-    /// Counts of decisions since they were last taken.
+    /// Counters of decisions, to be exported as metrics.
     pub fn counts(&mut self) -> &mut Counts {
         &mut self.counts
     }
@@ -205,16 +206,16 @@
             return vec![self.refuse(now, waiting, Failure::NotOwner)];
         };
         let backend = waiting.sub.backend.clone();
-        let fresh = || Server::new(&self.policy, &service);
-        self.servers.entry(backend.clone()).or_insert_with(fresh);
-        if let Some(failure) = self.objection(now, &waiting.sub) {
+        let cold = || Server::new(&self.policy, &service);
+        self.servers.entry(backend.clone()).or_insert_with(cold);
+        if let Some(failure) = self.rejection(now, &waiting.sub) {
             return vec![self.refuse(now, waiting, failure)];
         }
         let job = self.job(now, &service, &waiting);
-        if waiting.sub.hedge && (job.long || !self.takes_hedge(now, &backend)) {
+        if waiting.sub.hedge && (job.long || !self.accepts_hedge(now, &backend)) {
             return vec![self.refuse(now, waiting, Failure::Refused)];
         }
-        if let Some(failure) = self.is_hopeless(now, &service, &waiting, &job) {
+        if let Some(failure) = self.late_refusal(now, &service, &waiting, &job) {
             return vec![self.refuse(now, waiting, failure)];
         }
         self.next_ticket += 1;
@@ -226,11 +227,11 @@
         if let Some(server) = self.servers.get_mut(&backend) {
             server.queue.push(ticket, job, waiting);
         }
-        self.pump(now, &backend)
+        self.process_queue(now, &backend)
     }
 
-    /// Drops the note under which a sub-request can be cancelled.
-    fn forget(&mut self, from: &id::Host, id: id::Sub, desk: Desk, ticket: Option<Ticket>) {
+    /// Removes the entry in `tickets` under which a sub-request can be cancelled.
+    fn remove_ticket(&mut self, from: &id::Host, id: id::Sub, desk: Desk, ticket: Option<Ticket>) {
         let key = (from.clone(), id);
         let known = self.tickets.get(&key).map(|(ticket, _)| *ticket);
         if desk == Desk::Query && (ticket.is_none() || ticket == known) {
@@ -238,60 +239,64 @@
         }
     }
 
-    /// Drops what waits in vain for `backend`, and sends what its limits allow.
-    fn pump(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
+    /// Refuses expired sub-requests for `backend`, and sends as many of the others as its limits
+    /// allow.
+    fn process_queue(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
         let mut effects = Vec::new();
         while let Some(server) = self.servers.get_mut(backend)
             && let Some((_, waiting)) = server.queue.pop_expired(now)
         {
             effects.push(self.refuse(now, waiting, Failure::Refused));
         }
-        // Without a lease what waits stays, until the lease is back or known to be lost.
-        while self.lease(now, backend).is_some()
+        // Without a lease, sub-requests wait until it is renewed or known to be lost.
+        while self.lease_end(now, backend).is_some()
             && let Some(server) = self.servers.get_mut(backend)
-            && server.has_room(&self.policy, now)
-            && let slot = server.slot(&self.policy, now)
-            && let Some(turn) = server.queue.pop(&self.policy.queue, now, slot)
+            && server.has_free_slot(&self.policy, now)
+            && let slot = server.next_slot(&self.policy, now)
+            && let Some(next) = server.queue.pop(&self.policy.queue, now, slot)
         {
-            effects.push(self.send(now, turn));
+            effects.push(self.send(now, next));
         }
         self.set_wake(backend);
         effects
     }
 
-    fn send(&mut self, now: Time, turn: Dequeued<Waiting>) -> Effect {
-        let ticket = turn.ticket;
-        let waiting = turn.item;
-        // Asked again at the dispatch: the domain may have been taken out while it waited.
+    fn send(&mut self, now: Time, next: Dequeued<Waiting>) -> Effect {
+        let ticket = next.ticket;
+        let waiting = next.item;
+        // Checked again here: the domain may have been taken out of service while it waited.
         let failure = match waiting.deadline <= now {
             true => Some(Failure::Refused),
-            false => self.objection(now, &waiting.sub),
+            false => self.rejection(now, &waiting.sub),
         };
         if let Some(failure) = failure {
             return self.refuse(now, waiting, failure);
         }
-        // After the lease another process may send the full limit, so nothing of this one may be
-        // under way then. It would show as more requests in flight than the server bears.
-        let Some(until) = self.lease(now, &waiting.sub.backend) else {
+        // After the lease another process may send up to the full limit, so no request of this one
+        // may still be in flight then: together they would exceed what the server can handle.
+        let Some(lease_end) = self.lease_end(now, &waiting.sub.backend) else {
             return self.refuse(now, waiting, Failure::NotOwner);
         };
-        let end = waiting.deadline.min(until);
-        let last = self.ends.entry(waiting.sub.backend.clone()).or_default();
+        let end = waiting.deadline.min(lease_end);
+        let last = self
+            .last_ends
+            .entry(waiting.sub.backend.clone())
+            .or_default();
         *last = end.max(*last);
         if let Some(server) = self.servers.get_mut(&waiting.sub.backend) {
-            server.sent(ticket, now, turn.heavy);
+            server.record_sent(ticket, now, next.heavy);
         }
-        let flight = Flight {
+        let request = InFlight {
             from: waiting.from,
             desk: waiting.sub.work.desk(),
             id: waiting.sub.id,
             backend: waiting.sub.backend.clone(),
             caller: waiting.sub.caller.clone(),
-            since: now,
-            long: turn.job.long,
+            sent_at: now,
+            long: next.job.long,
             cancelled: false,
         };
-        self.flights.insert(ticket, flight);
+        self.in_flight.insert(ticket, request);
         Effect::Dispatch {
             ticket,
             left: end - now,
@@ -303,17 +308,18 @@
         let Some((ticket, backend)) = self.tickets.remove(&(from, id)) else {
             return Vec::new();
         };
-        if let Some(flight) = self.flights.get_mut(&ticket) {
-            flight.cancelled = true;
+        if let Some(request) = self.in_flight.get_mut(&ticket) {
+            request.cancelled = true;
             return vec![Effect::Cancel { ticket, backend }];
         }
         if let Some(server) = self.servers.get_mut(&backend) {
             server.queue.remove(ticket);
         }
-        self.pump(now, &backend)
+        self.process_queue(now, &backend)
     }
 
-    fn tell(&mut self, backend: &id::Backend, changes: Vec<Change>) -> Vec<Effect> {
+    /// Counts changes of a server's state and reports them to operators.
+    fn report_changes(&mut self, backend: &id::Backend, changes: Vec<Change>) -> Vec<Effect> {
         let note = |change: Change| {
             self.counts.add(change.counter());
             Effect::Note {
@@ -324,11 +330,11 @@
         changes.into_iter().map(note).collect()
     }
 
-    /// Answers all that waits for a server that may get no new work.
+    /// Refuses all waiting sub-requests of a server that may get no new work.
     ///
-    /// Were it left waiting, it would be told so only when its time is up, too late for another
+    /// Otherwise they would be refused only at their expiry, too late for a retry at another
     /// replica.
-    fn turn_away(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
+    fn refuse_waiting(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
         let Some(server) = self.servers.get_mut(backend) else {
             return Vec::new();
         };
@@ -337,7 +343,7 @@
         }
         let mut effects = Vec::new();
         for waiting in server.queue.drain() {
-            let failure = self.objection(now, &waiting.sub);
+            let failure = self.rejection(now, &waiting.sub);
             effects.push(self.refuse(now, waiting, failure.unwrap_or(Failure::Refused)));
         }
         effects
@@ -352,12 +358,12 @@
             if let Some(server) = self.servers.get_mut(&backend) {
                 server.wake = None;
             }
-            effects.extend(self.pump(now, &backend));
+            effects.extend(self.process_queue(now, &backend));
         }
         effects
     }
 
-    /// Notes when the queue of `backend` next wants attention.
+    /// Schedules the next wake-up for the queue of `backend`, at its next expiry.
     fn set_wake(&mut self, backend: &id::Backend) {
         let Some(server) = self.servers.get_mut(backend) else {
             return;
--- a/crates/lentillift-owner/src/core/intake.rs
+++ b/crates/lentillift-owner/src/core/admit.rs
@@ -1,4 +1,4 @@
-//! What is asked of a sub-request before it may wait.
+//! Checks on a sub-request before it is queued, and its refusal.
 
 use super::Effect;
 use super::Owner;
@@ -14,8 +14,9 @@
 use lentillift_settings::policy::millis;
 use std::time::Duration;
 
-/// Least time that a sub-request may wait, lest one that is due at once is dropped unasked.
-const LEAST_WAIT: Duration = Duration::from_micros(1);
+/// Minimum time until a sub-request expires in the queue. Without it, one that must start at once
+/// would expire before it could be sent to a free slot.
+const MIN_QUEUE_TIME: Duration = Duration::from_micros(1);
 
 impl Owner {
     /// The service of a sub-request whose backend server is owned here.
@@ -27,20 +28,20 @@
         self.config.as_ref()?.services.get(&known.service).cloned()
     }
 
-    /// Why a sub-request can't be taken at all, whatever the load.
-    pub(super) fn objection(&self, now: Time, sub: &Sub) -> Option<Failure> {
+    /// Reason to refuse a sub-request whatever the load; `None` if there is none.
+    pub(super) fn rejection(&self, now: Time, sub: &Sub) -> Option<Failure> {
         if !self.may_queue(&sub.backend) {
             return Some(Failure::NotOwner);
         }
-        // A process that was paused can't know what was taken out meanwhile.
+        // A process that was paused cannot know what was taken out of service meanwhile.
         if !self.view.fresh(now) || !self.view.in_service(&sub.backend) {
             return Some(Failure::Out);
         }
         let server = self.servers.get(&sub.backend)?;
-        server.objection(&self.policy, now)
+        server.rejection(&self.policy, now)
     }
 
-    /// What the queue needs to know of a sub-request.
+    /// Scheduling parameters of a sub-request.
     pub(super) fn job(&self, now: Time, service: &Service, waiting: &Waiting) -> Job {
         let sub = &waiting.sub;
         let Some(config) = self.config.as_ref().filter(|_| self.policy.queue.on) else {
@@ -56,33 +57,38 @@
         let class = config.class(service, &sub.caller);
         let costs = self.costs.get(&sub.service);
         let cost = costs.map_or(Duration::ZERO, |costs| costs.expected(&sub.caller));
-        let long = self.policy.queue.long_factor;
+        let long_factor = self.policy.queue.long_factor;
         let server = self.servers.get(&sub.backend);
-        let run = server.map_or(cost, |server| server.expected(cost));
-        let patience = class.map_or(sub.allowance, |class| millis(class.queue_ms));
-        let latest = waiting.deadline.saturating_sub(run);
+        let run_time = server.map_or(cost, |server| server.expected_run_time(cost));
+        let max_queue_time = class.map_or(sub.allowance, |class| millis(class.queue_ms));
+        let latest_start = waiting.deadline.saturating_sub(run_time);
         Job {
             rank: class.map_or(u8::MAX, |class| class.rank),
             caller: sub.caller.clone(),
             weight: config.callers.get(&sub.caller).map_or(1, |c| c.weight),
             cost,
-            long: costs.is_some_and(|costs| costs.is_long(&sub.caller, long)),
-            expiry: latest.min(now + patience).max(now + LEAST_WAIT),
+            long: costs.is_some_and(|costs| costs.is_long(&sub.caller, long_factor)),
+            expiry: latest_start
+                .min(now + max_queue_time)
+                .max(now + MIN_QUEUE_TIME),
         }
     }
 
-    /// Whether a hedge may go to `backend`: only where it takes nothing from others.
-    pub(super) fn takes_hedge(&self, now: Time, backend: &id::Backend) -> bool {
+    /// Whether `backend` accepts a hedge now: only if that delays no other request.
+    pub(super) fn accepts_hedge(&self, now: Time, backend: &id::Backend) -> bool {
         self.servers.get(backend).is_some_and(|server| {
-            server.warmup.is_warm() && server.queue.is_empty() && server.has_room(&self.policy, now)
+            server.warmup.is_warm()
+                && server.queue.is_empty()
+                && server.has_free_slot(&self.policy, now)
         })
     }
 
-    /// Whether a sub-request's turn would come too late, so that it is refused at once.
+    /// Reason to refuse a sub-request at once because it would be sent too late; `None` if it would
+    /// not.
     ///
-    /// A server with a free slot is asked in any case: its figures may be out of date, and nothing
-    /// but new results would mend them.
-    pub(super) fn is_hopeless(
+    /// A server with a free slot is never refused work for this reason: its latencies may be out of
+    /// date, and only new results can correct them.
+    pub(super) fn late_refusal(
         &self,
         now: Time,
         service: &Service,
@@ -93,7 +99,7 @@
             return None;
         }
         let server = self.servers.get(&waiting.sub.backend)?;
-        let wait = server.wait(&self.policy, now, job);
+        let wait = server.expected_wait(&self.policy, now, job);
         if wait.is_zero() || now + wait <= job.expiry {
             return None;
         }
@@ -103,7 +109,7 @@
         }
     }
 
-    /// Answers a sub-request that certainly was not sent.
+    /// Refuses a sub-request that was certainly not sent to a backend server.
     pub(super) fn refuse(&mut self, now: Time, waiting: Waiting, failure: Failure) -> Effect {
         self.counts.add(match failure {
             _ if waiting.sub.hedge => "lentillift_owner_refused_hedges_total",
@@ -112,7 +118,7 @@
             Failure::Connection => "lentillift_owner_refused_unwell_total",
             _ => "lentillift_owner_refused_late_total",
         });
-        self.forget(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
+        self.remove_ticket(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
         Effect::Reply {
             to: waiting.from,
             desk: waiting.sub.work.desk(),
@@ -122,7 +128,8 @@
         }
     }
 
-    /// A server's load as an entry is told it.
+    /// A server's load as sent to an entry, with the wait that a request in the class of `caller`
+    /// would have.
     pub(super) fn load(
         &self,
         now: Time,
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/lease.rs
@@ -1,4 +1,4 @@
-//! What a process's leases allow its owner.
+//! Effects of this process's leases on its backend servers: holding, losing, handing over.
 
 use super::Effect;
 use super::Owner;
@@ -11,58 +11,61 @@
 use lentillift_fleet::tenure::Transfer;
 use std::time::Duration;
 
-/// What a successor must know of a backend server that is handed over.
+/// State of a backend server that a hand-over passes to the next holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HandoverState {
-    /// Requests that it may run at a time, as far as it has warmed up.
+    /// Concurrency limit that its warm-up has reached.
     pub limit: u32,
-    /// Requests that it has from this process.
+    /// Number of requests in flight from this process and, until they end, from its predecessor.
     pub in_flight: u32,
-    /// Time after which it has none of these any more.
+    /// Time until the last of these ends at the latest.
     pub left: Duration,
 }
 
 impl Owner {
-    /// Until when work may be under way at `backend`, if any may be sent now.
-    pub(super) fn lease(&self, now: Time, backend: &id::Backend) -> Option<Time> {
+    /// End of the lease on `backend`, by which all requests to it must have ended; `None` if none
+    /// may be sent now.
+    pub(super) fn lease_end(&self, now: Time, backend: &id::Backend) -> Option<Time> {
         match self.holds.get(backend) {
             Some(Hold::Until(until)) if now < *until && self.view.fresh(now) => Some(*until),
             _ => None,
         }
     }
 
-    /// Whether work for `backend` may wait here.
+    /// Whether sub-requests for `backend` may be queued here.
     pub fn may_queue(&self, backend: &id::Backend) -> bool {
         let hold = self.holds.get(backend);
         matches!(hold, Some(Hold::Until(_) | Hold::Pending))
     }
 
-    /// Takes in what may be done with `backend` from now on.
+    /// Applies a change of the lease on `backend`; when it is lost, waiting sub-requests are
+    /// forwarded to the new holder.
     pub(super) fn set_hold(&mut self, now: Time, backend: &id::Backend, hold: Hold) -> Vec<Effect> {
         let lost = matches!(hold, Hold::No(_));
         self.holds.insert(backend.clone(), hold);
         if !lost {
-            return self.pump(now, backend);
+            return self.process_queue(now, backend);
         }
         let mut effects = Vec::new();
         let server = self.servers.get_mut(backend);
         let waiting = server.map_or_else(Vec::new, |server| server.queue.drain());
         for waiting in waiting {
-            effects.push(self.pass_on(now, waiting));
+            effects.push(self.forward(now, waiting));
         }
         self.set_wake(backend);
-        self.drop_if_lost(backend);
+        self.remove_if_lost(backend);
         effects
     }
 
-    /// Sends what waits for a backend server that is not held here to the host that holds it.
-    fn pass_on(&mut self, now: Time, mut waiting: Waiting) -> Effect {
+    /// Forwards a sub-request to the host that holds its backend server, or refuses it if that host
+    /// is unknown.
+    fn forward(&mut self, now: Time, mut waiting: Waiting) -> Effect {
         let left = waiting.deadline.saturating_sub(now);
         let Some(Hold::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
             return self.refuse(now, waiting, Failure::NotOwner);
         };
         let to = holder.clone();
-        self.forget(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
+        self.remove_ticket(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
         waiting.sub.allowance = left;
         Effect::Forward {
             to,
@@ -71,12 +74,12 @@
         }
     }
 
-    /// How `backend` stands, for a hand-over.
+    /// State of `backend` for a hand-over to the next holder.
     pub fn handover_state(&self, now: Time, backend: &id::Backend) -> HandoverState {
         let Some(server) = self.servers.get(backend) else {
             return HandoverState::default();
         };
-        let end = self.ends.get(backend).copied().unwrap_or_default();
+        let end = self.last_ends.get(backend).copied().unwrap_or_default();
         let end = end.max(server.inherited_until());
         let in_flight = server.occupied(now);
         HandoverState {
@@ -90,8 +93,14 @@
         }
     }
 
-    /// Starts with a backend server: cold, or as the holder before has left it.
-    pub(super) fn adopt(&mut self, now: Time, backend: &id::Backend, transfer: Option<Transfer>) {
+    /// Starts a lease on a backend server: cold, or in the state that the previous holder handed
+    /// over.
+    pub(super) fn start_lease(
+        &mut self,
+        now: Time,
+        backend: &id::Backend,
+        transfer: Option<Transfer>,
+    ) {
         let service = self.view.backends.get(backend).and_then(|known| {
             let config = self.config.as_ref()?;
             config.services.get(&known.service).cloned()
@@ -100,9 +109,9 @@
             return;
         };
         let policy = &self.policy;
-        let fresh = || Server::new(policy, &service);
-        let server = self.servers.entry(backend.clone()).or_insert_with(fresh);
-        server.adopt(policy, now, &service, transfer.as_ref());
+        let cold = || Server::new(policy, &service);
+        let server = self.servers.entry(backend.clone()).or_insert_with(cold);
+        server.start_lease(policy, now, &service, transfer.as_ref());
         if let Some(transfer) = transfer {
             self.wakes.insert((now + transfer.left, backend.clone()));
         }
--- a/crates/lentillift-owner/src/core/refit.rs
+++ b/crates/lentillift-owner/src/core/view_change.rs
@@ -1,4 +1,4 @@
-//! What a new view changes.
+//! Effects of a new view of the fleet.
 
 use super::Effect;
 use super::Owner;
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 
 impl Owner {
-    /// Takes in a new view, answers what it leaves without a server, and drops servers that are
-    /// no longer owned; one that comes back later is cold.
-    pub(super) fn refit(&mut self, now: Time, view: Arc<View>) -> Vec<Effect> {
+    /// Applies a new view: refuses sub-requests whose server is no longer owned or in service, and
+    /// removes servers that are no longer owned; one that returns later starts cold.
+    pub(super) fn set_view(&mut self, now: Time, view: Arc<View>) -> Vec<Effect> {
         let same = view.generation > 0 && view.generation == self.view.generation;
         self.view = view;
         if same {
@@ -27,19 +27,19 @@
         let mut effects = Vec::new();
         let names: Vec<id::Backend> = self.servers.keys().cloned().collect();
         for backend in names {
-            effects.extend(self.refit_server(now, &backend));
+            effects.extend(self.update_server(now, &backend));
         }
         let backends = &self.view.backends;
         self.holds
             .retain(|backend, _| backends.contains_key(backend));
-        self.ends.retain(|_, end| now < *end);
+        self.last_ends.retain(|_, end| now < *end);
         let placements = &self.view.values.placements;
         self.costs
             .retain(|service, _| placements.contains_key(service));
         effects
     }
 
-    fn refit_server(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
+    fn update_server(&mut self, now: Time, backend: &id::Backend) -> Vec<Effect> {
         let owned = self.may_queue(backend);
         let known = self.view.backends.get(backend);
         let service = known.and_then(|known| {
@@ -54,21 +54,21 @@
         }
         let mut effects = Vec::new();
         if !owned || service.is_none() || !self.view.in_service(backend) {
-            // Whatever it was taken out for, it may come back with empty caches.
+            // Whatever it was taken out of service for, it may return with empty caches.
             server.warmup.reset_to_cold(&self.policy.warmup);
             for waiting in server.queue.drain() {
-                let failure = self.objection(now, &waiting.sub);
+                let failure = self.rejection(now, &waiting.sub);
                 effects.push(self.refuse(now, waiting, failure.unwrap_or(Failure::NotOwner)));
             }
         }
         self.set_wake(backend);
-        effects.extend(self.pump(now, backend));
-        self.drop_if_lost(backend);
+        effects.extend(self.process_queue(now, backend));
+        self.remove_if_lost(backend);
         effects
     }
 
-    /// Drops a server that is not owned here any more, once nothing of it is in flight.
-    pub(super) fn drop_if_lost(&mut self, backend: &id::Backend) {
+    /// Removes a server that is no longer owned here, once none of its requests are in flight.
+    pub(super) fn remove_if_lost(&mut self, backend: &id::Backend) {
         let owned = self.may_queue(backend);
         if !owned && self.servers.get(backend).is_some_and(Server::is_idle) {
             self.servers.remove(backend);
--- a/crates/lentillift-owner/src/lib.rs
+++ b/crates/lentillift-owner/src/lib.rs
@@ -1,6 +1,7 @@
-//! The owner's side: which sub-request goes to which backend server, and when.
+//! Scheduling by the owner: which sub-request is sent to which backend server, and when.
 //!
-//! [`core::Owner`] takes events and returns what to do; it holds no socket and reads no clock.
+//! [`core::Owner`] is a state machine that takes events and returns effects; it opens no socket and
+//! reads no clock.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-owner/src/queue.rs
+++ b/crates/lentillift-owner/src/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a slot of a backend server, and what has one.
+//! Sub-requests that wait for a slot of a backend server or are in flight to it.
 
 use lentillift_core::id;
 use lentillift_core::sub::Desk;
@@ -12,27 +12,27 @@
     pub from: id::Host,
     /// The sub-request.
     pub sub: Sub,
-    /// When its reply is of no more use.
+    /// End of its allowance, after which its reply is useless.
     pub deadline: Time,
 }
 
-/// A request that a backend server has.
+/// A request that was sent to a backend server and has no result yet.
 #[derive(Debug)]
-pub struct Flight {
-    /// The host whose entry sent it.
+pub struct InFlight {
+    /// The host whose entry sent the sub-request.
     pub from: id::Host,
-    /// The desk there.
+    /// The part of that host's process that waits for the result.
     pub desk: Desk,
     /// The sub-request's number there.
     pub id: id::Sub,
-    /// The backend server.
+    /// The backend server it was sent to.
     pub backend: id::Backend,
-    /// The caller.
+    /// The caller whose request the sub-request is part of.
     pub caller: id::Caller,
-    /// When it was sent.
-    pub since: Time,
-    /// Whether it is long beside others.
+    /// When it was sent to the backend server.
+    pub sent_at: Time,
+    /// Whether it takes far longer than the service's median.
     pub long: bool,
-    /// Whether its reply is of no more use.
+    /// Whether the entry has cancelled it.
     pub cancelled: bool,
 }
--- a/crates/lentillift-owner/src/server.rs
+++ b/crates/lentillift-owner/src/server.rs
@@ -1,6 +1,6 @@
 //! The state that an owner keeps for one backend server.
 
-use crate::queue::Flight;
+use crate::queue::InFlight;
 use crate::queue::Waiting;
 use lentillift_core::id;
 use lentillift_core::sub;
@@ -27,31 +27,31 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Latency of a reply that counts towards the warm-up, in percent of the baseline. A cold server
-/// takes 1.6 times as long or more; two in three ordinary replies are below it even where times are
-/// exponential.
-const WARM_PERCENT: u32 = 150;
+/// Maximum latency of a reply that counts towards the warm-up, in percent of the baseline. A cold
+/// server takes 1.6 times the baseline or longer; with exponential service times, two in three
+/// ordinary replies are below this.
+const MAX_WARM_PERCENT: u32 = 150;
 
 /// A request in flight.
 #[derive(Debug, Clone, Copy)]
 struct Running {
     ticket: Ticket,
-    since: Time,
+    sent_at: Time,
     heavy: bool,
 }
 
-/// A change of state worth telling an operator.
+/// A change of a backend server's state that is reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// It went cold.
     Chilled(ColdSignal),
-    /// Its warm-up is over.
+    /// Its warm-up is complete.
     Warm,
-    /// It gets nothing for a while.
+    /// It gets nothing for a while, after consecutive failures.
     Paused,
-    /// It is held to be well again.
+    /// It has recovered from a pause.
     Well,
-    /// It says that it is leaving.
+    /// It reports that it is leaving.
     Leaving,
     /// Its slot limit fell.
     Fell,
@@ -60,7 +60,7 @@
 }
 
 impl Change {
-    /// The counter of such changes.
+    /// Name of the metric that counts such changes.
     pub fn counter(self) -> Name {
         match self {
             Self::Chilled(_) => "lentillift_backend_chilled_total",
@@ -96,24 +96,24 @@
 pub struct Server {
     /// Sub-requests that wait for a slot.
     pub queue: Queue<Waiting>,
-    /// How far the server has warmed up.
+    /// Concurrency limit during the warm-up.
     pub warmup: Warmup,
-    /// How many requests it gets when warm.
+    /// Adaptive concurrency limit of the warm server.
     pub slots: Slots,
-    /// What its own results say of it.
+    /// Circuit breaker, driven by the results of the server's requests.
     pub health: Health,
-    /// Requests that it still has from the holder before, and when the last of them is over.
+    /// Requests in flight from the previous holder, and when the last of them ends.
     inherited: (u32, Time),
-    // INVARIANT: Never made longer while it and `inherited` make up the limit in force.
+    // INVARIANT: Does not grow while it and `inherited` together reach the limit in force.
     running: Vec<Running>,
     latency: Latency,
     incarnation: Option<id::Incarnation>,
-    /// When its queue next wants attention, as the owner has noted it.
+    /// The owner's pending wake-up for this server's queue.
     pub wake: Option<Time>,
 }
 
 impl Server {
-    /// Starts with a server that is held to be cold.
+    /// Starts cold.
     pub fn new(policy: &Policy, service: &Service) -> Self {
         Self {
             queue: Queue::default(),
@@ -128,14 +128,14 @@
         }
     }
 
-    /// Takes in newly published figures.
+    /// Applies the limits of a newly published configuration.
     pub fn configure(&mut self, policy: &Policy, service: &Service) {
         let (cold, warm) = (service.cold_slots, service.slots);
         self.warmup.set_limits(&policy.warmup, cold, warm);
         self.slots.set_ceiling(warm);
     }
 
-    /// How many requests may be in flight now: the least of all limits.
+    /// How many requests may be in flight now: the minimum of all limits.
     pub fn limit(&self, policy: &Policy, now: Time) -> u32 {
         let limit = self.warmup.limit().min(self.slots.limit());
         match self.health.state(&policy.health, now) {
@@ -145,34 +145,35 @@
         }
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight from this process.
     pub fn in_flight(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Whether nothing waits and nothing is in flight.
+    /// Whether no request waits or is in flight.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.queue.is_empty()
     }
 
     /// Whether one more request may be sent now.
-    pub fn has_room(&self, policy: &Policy, now: Time) -> bool {
+    pub fn has_free_slot(&self, policy: &Policy, now: Time) -> bool {
         self.occupied(now) < self.limit(policy, now)
     }
 
-    /// Requests in flight, those of the holder before included.
+    /// Number of requests in flight, those of the previous holder included.
     pub fn occupied(&self, now: Time) -> u32 {
-        let (count, over) = self.inherited;
-        self.in_flight() + if now < over { count } else { 0 }
+        let (count, end) = self.inherited;
+        self.in_flight() + if now < end { count } else { 0 }
     }
 
-    /// When the last request of the holder before is over.
+    /// When the last request of the previous holder ends.
     pub fn inherited_until(&self) -> Time {
         self.inherited.1
     }
 
-    /// Starts anew with a lease: cold, or as the holder before has left it.
-    pub fn adopt(
+    /// Resets the warm-up at the start of a lease: to cold, or to the state that the previous
+    /// holder handed over.
+    pub fn start_lease(
         &mut self,
         policy: &Policy,
         now: Time,
@@ -186,8 +187,8 @@
         }
     }
 
-    /// The slot that the next request would get.
-    pub fn slot(&self, policy: &Policy, now: Time) -> Slot {
+    /// Kind of the slot that the next request would get.
+    pub fn next_slot(&self, policy: &Policy, now: Time) -> Slot {
         let heavy = self.running.iter().filter(|running| running.heavy).count() as u32;
         match heavy < self.limit(policy, now).saturating_sub(1).max(1) {
             true => Slot::Open,
@@ -195,91 +196,96 @@
         }
     }
 
-    /// Time that a request of a caller whose requests usually cost `cost` will take.
-    pub fn expected(&self, cost: Duration) -> Duration {
+    /// Expected run time here of a request whose usual cost is `cost`.
+    pub fn expected_run_time(&self, cost: Duration) -> Duration {
         let baseline = self.latency.baseline();
         if baseline.is_zero() {
             return cost;
         }
-        // A server that is slow now is as slow for all callers.
+        // A slowdown of the server is assumed to affect all callers alike.
         cost.mul_f64(self.latency.recent().as_secs_f64() / baseline.as_secs_f64())
     }
 
-    /// Time until `job` would be sent.
-    pub fn wait(&self, policy: &Policy, now: Time, job: &Job) -> Duration {
-        if self.queue.is_empty() && self.has_room(policy, now) {
+    /// Expected time until `job` would be sent.
+    pub fn expected_wait(&self, policy: &Policy, now: Time, job: &Job) -> Duration {
+        if self.queue.is_empty() && self.has_free_slot(policy, now) {
             return Duration::ZERO;
         }
         let limit = self.limit(policy, now).max(1);
-        let left = self.running.iter().map(|running| self.left(now, running));
-        let first = left.min().unwrap_or_default();
+        let remaining = self
+            .running
+            .iter()
+            .map(|running| self.remaining(now, running));
+        let first = remaining.min().unwrap_or_default();
         // The queue's work is in baseline time; a server that is slow now takes longer for it.
-        first + self.expected(self.queue.work_ahead(job)) / limit
+        first + self.expected_run_time(self.queue.work_ahead(job)) / limit
     }
 
-    /// Time that a request in flight will still take.
-    fn left(&self, now: Time, running: &Running) -> Duration {
-        let age = now.saturating_sub(running.since);
+    /// Expected remaining time of a request in flight.
+    fn remaining(&self, now: Time, running: &Running) -> Duration {
+        let age = now.saturating_sub(running.sent_at);
         match self.latency.recent().checked_sub(age) {
-            Some(left) => left,
-            // The longer it has taken, the longer it may still take.
+            Some(remaining) => remaining,
+            // It is overdue: the longer it has taken, the longer it may still take.
             None => age,
         }
     }
 
-    /// Why new work is turned away whatever the queue holds, if it is.
-    pub fn objection(&self, policy: &Policy, now: Time) -> Option<Failure> {
+    /// Reason to refuse new work whatever the queue holds; `None` if there is none.
+    pub fn rejection(&self, policy: &Policy, now: Time) -> Option<Failure> {
         match self.health.state(&policy.health, now) {
             health::State::Serve => None,
-            // A second request would wait behind one that may hang.
+            // A second request would wait behind a probe that may hang.
             health::State::Probe if self.running.is_empty() => None,
             _ if self.health.is_leaving() => Some(Failure::Out),
             _ => Some(Failure::Connection),
         }
     }
 
-    /// Notes that a request was sent.
-    pub fn sent(&mut self, ticket: Ticket, now: Time, heavy: bool) {
+    /// Records that a request was sent; `heavy` is [`Dequeued::heavy`].
+    ///
+    /// [`Dequeued::heavy`]: lentillift_policy::queue::Dequeued::heavy
+    pub fn record_sent(&mut self, ticket: Ticket, now: Time, heavy: bool) {
         self.running.push(Running {
             ticket,
-            since: now,
+            sent_at: now,
             heavy,
         });
     }
 
-    /// Takes in what came of a request, and says what that changed.
-    pub fn done(
+    /// Records the result of a request; returns the changes of state that it caused.
+    pub fn record_result(
         &mut self,
         policy: &Policy,
         now: Time,
         ticket: Ticket,
-        flight: &Flight,
+        request: &InFlight,
         result: &sub::Result,
         report: &Report,
     ) -> Vec<Change> {
         self.running.retain(|running| running.ticket != ticket);
         let mut changes = Vec::new();
-        let latency = now.saturating_sub(flight.since);
+        let latency = now.saturating_sub(request.sent_at);
         match result {
             sub::Result::Hits(_) | sub::Result::Reply(_) => {
                 if self.health.record_success() == health::Change::Well {
                     changes.push(Change::Well);
                 }
-                let cold = self.reported(policy, now, report, &mut changes);
-                self.replied(policy, latency, flight, !cold, &mut changes);
+                let cold = self.record_report(policy, now, report, &mut changes);
+                self.record_reply(policy, latency, request, !cold, &mut changes);
             }
             sub::Result::Failed { failure, .. } => match failure {
                 Failure::Connection | Failure::Ended => {
-                    self.chill(policy, ColdSignal::Connection, &mut changes);
-                    self.failed(policy, now, &mut changes);
+                    self.reset_to_cold(policy, ColdSignal::Connection, &mut changes);
+                    self.record_failure(policy, now, &mut changes);
                 }
-                Failure::Timeout if flight.long => {}
-                Failure::Timeout => self.timed_out(policy, now, latency, &mut changes),
-                Failure::Malformed => self.failed(policy, now, &mut changes),
+                Failure::Timeout if request.long => {}
+                Failure::Timeout => self.record_timeout(policy, now, latency, &mut changes),
+                Failure::Malformed => self.record_failure(policy, now, &mut changes),
                 Failure::Shed => {
                     let slow = policy.slots.slow_percent + 1;
-                    self.slots_noted(policy, slow, &mut changes);
-                    self.reported(policy, now, report, &mut changes);
+                    self.adjust_slots(policy, slow, &mut changes);
+                    self.record_report(policy, now, report, &mut changes);
                 }
                 _ => {}
             },
@@ -287,26 +293,27 @@
         changes
     }
 
-    /// Takes in a reply's latency.
-    fn replied(
+    /// Records the latency of a reply; `may_warm` is whether it may count towards the warm-up.
+    fn record_reply(
         &mut self,
         policy: &Policy,
         latency: Duration,
-        flight: &Flight,
-        counts: bool,
+        request: &InFlight,
+        may_warm: bool,
         changes: &mut Vec<Change>,
     ) {
-        // A long request says nothing of the server, nor does one that it was told to give up.
+        // The latency of a long request says nothing about the server, nor does a quick reply to a
+        // cancelled one, which the server may have cut short.
         let slow = self.is_slow(policy, latency);
-        if flight.long || (flight.cancelled && !slow) {
+        if request.long || (request.cancelled && !slow) {
             return;
         }
         let percent = self.latency.record(latency);
-        self.slots_noted(policy, percent, changes);
-        if let Some(sign) = self.warmup.record_latency(&policy.warmup, percent) {
-            self.chill(policy, sign, changes);
-        } else if counts
-            && percent <= WARM_PERCENT
+        self.adjust_slots(policy, percent, changes);
+        if let Some(signal) = self.warmup.record_latency(&policy.warmup, percent) {
+            self.reset_to_cold(policy, signal, changes);
+        } else if may_warm
+            && percent <= MAX_WARM_PERCENT
             && self.warmup.record_success(&policy.warmup) == warmup::Change::Rose
             && self.warmup.is_warm()
         {
@@ -314,8 +321,8 @@
         }
     }
 
-    /// Takes in what the server says of itself; says whether it is believed to be cold.
-    fn reported(
+    /// Records the server's own report; returns whether the server counts as cold by it.
+    fn record_report(
         &mut self,
         policy: &Policy,
         now: Time,
@@ -323,13 +330,13 @@
         changes: &mut Vec<Change>,
     ) -> bool {
         let cold = self.warmup.record_report(&policy.warmup, now, report.cold);
-        if let Some(sign) = cold {
-            self.chill(policy, sign, changes);
+        if let Some(signal) = cold {
+            self.reset_to_cold(policy, signal, changes);
         }
         if let Some(new) = report.incarnation
             && self.incarnation.replace(new).is_some_and(|old| old != new)
         {
-            self.chill(policy, ColdSignal::Incarnation, changes);
+            self.reset_to_cold(policy, ColdSignal::Incarnation, changes);
         }
         if self.health.record_leaving(now, report.draining) {
             changes.push(Change::Leaving);
@@ -337,10 +344,11 @@
         cold.is_some()
     }
 
-    /// Takes in a reply that did not come in time.
+    /// Records a request that timed out.
     ///
-    /// A request that was sent just before its deadline says nothing of the server.
-    fn timed_out(
+    /// It counts only if the server had it for long enough: a request that was sent just before its
+    /// deadline says nothing about the server.
+    fn record_timeout(
         &mut self,
         policy: &Policy,
         now: Time,
@@ -351,15 +359,15 @@
             return;
         }
         let percent = self.latency.record(latency);
-        self.slots_noted(policy, percent, changes);
-        self.failed(policy, now, changes);
+        self.adjust_slots(policy, percent, changes);
+        self.record_failure(policy, now, changes);
     }
 
     fn is_slow(&self, policy: &Policy, latency: Duration) -> bool {
         latency * 100 > self.latency.baseline() * policy.slots.slow_percent
     }
 
-    fn slots_noted(&mut self, policy: &Policy, percent: u32, changes: &mut Vec<Change>) {
+    fn adjust_slots(&mut self, policy: &Policy, percent: u32, changes: &mut Vec<Change>) {
         match self.slots.record(&policy.slots, percent) {
             slots::Change::Same => {}
             slots::Change::Fell => changes.push(Change::Fell),
@@ -367,27 +375,27 @@
         }
     }
 
-    fn failed(&mut self, policy: &Policy, now: Time, changes: &mut Vec<Change>) {
+    fn record_failure(&mut self, policy: &Policy, now: Time, changes: &mut Vec<Change>) {
         if self.health.record_failure(&policy.health, now) == health::Change::Paused {
             changes.push(Change::Paused);
-            self.chill(policy, ColdSignal::Connection, changes);
+            self.reset_to_cold(policy, ColdSignal::Connection, changes);
         }
     }
 
-    fn chill(&mut self, policy: &Policy, sign: ColdSignal, changes: &mut Vec<Change>) {
+    fn reset_to_cold(&mut self, policy: &Policy, signal: ColdSignal, changes: &mut Vec<Change>) {
         if self.warmup.reset_to_cold(&policy.warmup) {
-            changes.push(Change::Chilled(sign));
+            changes.push(Change::Chilled(signal));
         }
     }
 
-    /// Its load, for entries.
+    /// The server's load as sent to entries, with the wait that `job` would have.
     pub fn load(&self, policy: &Policy, now: Time, job: &Job) -> Load {
         Load {
             queued: self.queue.len() as u32,
             running: self.in_flight(),
             limit: self.limit(policy, now),
             cold: !self.warmup.is_warm(),
-            wait: self.wait(policy, now, job),
+            wait: self.expected_wait(policy, now, job),
             run: self.latency.recent(),
         }
     }
--- a/crates/lentillift-owner/tests/invariants.rs
+++ b/crates/lentillift-owner/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What an owner promises whatever happens.
+//! Properties of an owner that hold for any sequence of events.
 
 use lentillift_core::hit::Hit;
 use lentillift_core::id;
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests that a warm server bears at a time.
+/// Concurrency limit of a warm server.
 const SLOTS: usize = 3;
 
 const CONFIG: &str = r#"{
@@ -51,18 +51,19 @@
     "maps": []
 }"#;
 
-/// Something that happens.
+/// A step of a random scenario.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A sub-request for a server, of a caller, with an allowance in milliseconds.
+    /// A sub-request: its server, caller, allowance in milliseconds, and whether it is a hedge.
     Sub(usize, usize, u64, bool),
-    /// The oldest sub-request but so many is cancelled.
+    /// An open sub-request is cancelled, given by its position from the oldest.
     Cancel(usize),
-    /// A request in flight ends, in one of the ways that there are, with or without a cold report.
+    /// A request in flight ends: its position from the oldest, the kind of its result (see
+    /// [`result`]), and whether the server reports that it is cold.
     Done(usize, usize, bool),
-    /// Time passes, in milliseconds.
+    /// Time passes; in milliseconds.
     Wait(u64),
-    /// Domain `b` is taken out or put back.
+    /// Domain `b` is taken out of service (true) or put back.
     Domain(bool),
 }
 
@@ -72,7 +73,7 @@
             .prop_map(|(server, caller, ms, hedge)| Step::Sub(server, caller, ms, hedge)),
         1 => (0_usize..8).prop_map(Step::Cancel),
         4 => (0_usize..8, 0_usize..20, prop::bool::weighted(0.05))
-            .prop_map(|(which, how, cold)| Step::Done(which, how, cold)),
+            .prop_map(|(position, kind, cold)| Step::Done(position, kind, cold)),
         3 => (1_u64..40).prop_map(Step::Wait),
         1 => prop::bool::weighted(0.3).prop_map(Step::Domain),
     ]
@@ -92,8 +93,8 @@
     Arc::new(View::new(values, vec!["h".into()]))
 }
 
-fn result(how: usize) -> sub::Result {
-    match how {
+fn result(kind: usize) -> sub::Result {
+    match kind {
         0 => sub::Result::unknown(Failure::Connection),
         1 => sub::Result::unknown(Failure::Timeout),
         2 => sub::Result::not_run(Failure::Shed),
@@ -102,48 +103,54 @@
     }
 }
 
-/// An owner, and what was seen of it.
-struct Bench {
+/// An owner, and what its effects so far have shown.
+struct Harness {
     owner: Owner,
     now: Time,
-    next: id::Sub,
+    /// Number of the newest sub-request.
+    last_id: id::Sub,
+    /// Sub-requests that wait for a reply, with their deadlines.
     open: BTreeMap<id::Sub, Time>,
-    flying: BTreeMap<Ticket, (id::Sub, id::Backend)>,
+    /// Requests in flight to backend servers.
+    in_flight: BTreeMap<Ticket, (id::Sub, id::Backend)>,
+    /// Sub-requests that were refused without being sent.
     refused: BTreeSet<id::Sub>,
+    /// Sub-requests that were sent to a backend server.
     sent: BTreeSet<id::Sub>,
-    out: bool,
+    /// Whether domain `b` is out of service.
+    domain_out: bool,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             owner: Owner::new(),
             now: Time::ZERO,
-            next: 0,
+            last_id: 0,
             open: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             refused: BTreeSet::new(),
             sent: BTreeSet::new(),
-            out: false,
+            domain_out: false,
         };
-        bench.handle(Event::View(view(false))).expect("no effect");
+        harness.handle(Event::View(view(false))).expect("no effect");
         for backend in ["b0", "b1"] {
             let backend = backend.into();
             let hold = Hold::Until(Time::MAX);
-            let held = bench.handle(Event::Hold { backend, hold });
+            let held = harness.handle(Event::Hold { backend, hold });
             held.expect("no effect");
         }
-        bench
+        harness
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Sub(server, caller, ms, hedge) => {
-                self.next += 1;
+                self.last_id += 1;
                 let allowance = Duration::from_millis(ms);
-                self.open.insert(self.next, self.now + allowance);
+                self.open.insert(self.last_id, self.now + allowance);
                 let sub = Sub {
-                    id: self.next,
+                    id: self.last_id,
                     service: "search".into(),
                     backend: ["b0", "b1"][server].into(),
                     caller: ["x", "y"][caller].into(),
@@ -158,7 +165,7 @@
                 let from = "e".into();
                 self.handle(Event::Sub { from, sub })
             }
-            Step::Cancel(which) => match self.open.keys().nth(which).copied() {
+            Step::Cancel(position) => match self.open.keys().nth(position).copied() {
                 Some(id) => {
                     if !self.sent.contains(&id) {
                         self.open.remove(&id);
@@ -168,21 +175,23 @@
                 }
                 None => Ok(()),
             },
-            Step::Done(which, how, cold) => match self.flying.keys().nth(which).copied() {
-                Some(ticket) => {
-                    self.flying.remove(&ticket);
-                    let report = Report {
-                        cold,
-                        ..Report::default()
-                    };
-                    self.handle(Event::Done {
-                        ticket,
-                        result: result(how),
-                        report,
-                    })
+            Step::Done(position, kind, cold) => {
+                match self.in_flight.keys().nth(position).copied() {
+                    Some(ticket) => {
+                        self.in_flight.remove(&ticket);
+                        let report = Report {
+                            cold,
+                            ..Report::default()
+                        };
+                        self.handle(Event::Done {
+                            ticket,
+                            result: result(kind),
+                            report,
+                        })
+                    }
+                    None => Ok(()),
                 }
-                None => Ok(()),
-            },
+            }
             Step::Wait(ms) => {
                 let end = self.now + Duration::from_millis(ms);
                 while let Some(wake) = self.owner.next_wake().filter(|wake| *wake <= end) {
@@ -193,7 +202,7 @@
                 Ok(())
             }
             Step::Domain(out) => {
-                self.out = out;
+                self.domain_out = out;
                 self.handle(Event::View(view(out)))
             }
         }
@@ -204,13 +213,17 @@
             match effect {
                 Effect::Dispatch { ticket, sub, left } => {
                     prop_assert!(!left.is_zero());
-                    prop_assert!(self.open.get(&sub.id).is_some_and(|due| *due > self.now));
+                    prop_assert!(
+                        self.open
+                            .get(&sub.id)
+                            .is_some_and(|deadline| *deadline > self.now)
+                    );
                     prop_assert!(!self.refused.contains(&sub.id));
                     prop_assert!(self.sent.insert(sub.id), "sent twice");
-                    prop_assert!(!self.out || &*sub.backend != "b1");
-                    self.flying.insert(ticket, (sub.id, sub.backend.clone()));
-                    let of = |f: &&(id::Sub, id::Backend)| f.1 == sub.backend;
-                    let in_flight = self.flying.values().filter(of).count();
+                    prop_assert!(!self.domain_out || &*sub.backend != "b1");
+                    self.in_flight.insert(ticket, (sub.id, sub.backend.clone()));
+                    let same_backend = |request: &&(id::Sub, id::Backend)| request.1 == sub.backend;
+                    let in_flight = self.in_flight.values().filter(same_backend).count();
                     prop_assert!(in_flight <= SLOTS);
                     let servers: BTreeMap<_, _> = self.owner.servers().collect();
                     let limit = servers[&sub.backend].warmup.limit() as usize;
@@ -224,7 +237,7 @@
                         self.refused.insert(id);
                     }
                 }
-                Effect::Forward { .. } => prop_assert!(false, "held here, and passed on"),
+                Effect::Forward { .. } => prop_assert!(false, "forwarded although held here"),
                 Effect::Cancel { .. } | Effect::Note { .. } => {}
             }
         }
@@ -240,23 +253,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// Sub-requests come, are cancelled, time out and fail while servers chill and a domain goes
-    /// and returns. One that is sent after a refusal doubles work that was said not to run; one
-    /// that is sent late serves nobody; one too many tips a cold server over; one that is never
-    /// answered leaves its caller waiting.
+    /// Sub-requests arrive, are cancelled, time out and fail while servers go cold and a domain is
+    /// taken out and put back. One that is sent after its refusal doubles work that was reported
+    /// as not run, one that is sent after its deadline is wasted work, one beyond the limit
+    /// overloads a cold server, and one that is never answered leaves its caller waiting.
     #[test]
-    fn owner_keeps_its_promises(steps in prop::collection::vec(step(), 1..250)) {
-        let mut bench = Bench::new();
+    fn sub_requests_are_sent_within_limits_and_answered_once(steps in prop::collection::vec(step(), 1..250)) {
+        let mut harness = Harness::new();
         for step in steps {
-            bench.step(step)?;
+            harness.step(step)?;
         }
-        while let Some((ticket, _)) = bench.flying.pop_first() {
-            bench.handle(Event::Done { ticket, result: result(9), report: Report::default() })?;
+        while let Some((ticket, _)) = harness.in_flight.pop_first() {
+            harness.handle(Event::Done { ticket, result: result(9), report: Report::default() })?;
         }
-        bench.step(Step::Wait(20_000))?;
-        while let Some((ticket, _)) = bench.flying.pop_first() {
-            bench.handle(Event::Done { ticket, result: result(9), report: Report::default() })?;
+        harness.step(Step::Wait(20_000))?;
+        while let Some((ticket, _)) = harness.in_flight.pop_first() {
+            harness.handle(Event::Done { ticket, result: result(9), report: Report::default() })?;
         }
-        prop_assert!(bench.open.is_empty(), "{:?}", bench.open);
+        prop_assert!(harness.open.is_empty(), "{:?}", harness.open);
     }
 }
