--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -68,7 +68,7 @@
         let mut loads = Loads::default();
         let names: Vec<id::Backend> = (0..2 * shards).map(|n| format!("b{n}").into()).collect();
         for name in &names {
-            loads.note(NOW, name, load());
+            loads.record(NOW, name, load());
         }
         let mut rng = StdRng::seed_from_u64(1);
         let mut at = 0;
@@ -77,11 +77,11 @@
                 at = (at + 7) % (names.len() - 1);
                 let candidate = |backend| Candidate {
                     backend,
-                    near: false,
+                    same_domain: false,
                 };
                 let two = [candidate(&names[at]), candidate(&names[at + 1])];
                 let chosen = loads.choose(&options, NOW, &mut rng, &two).cloned();
-                loads.sent(chosen.as_ref().unwrap_or(&names[0]));
+                loads.record_sent(chosen.as_ref().unwrap_or(&names[0]));
             });
         });
     }
@@ -91,8 +91,8 @@
     let options = Policy::default().admission;
     for callers in [10_u32, 1000] {
         let mut admission = Admission::default();
-        let asks: Vec<admission::Ask> = (0..callers)
-            .map(|n| admission::Ask {
+        let asks: Vec<admission::Request> = (0..callers)
+            .map(|n| admission::Request {
                 rank: 0,
                 caller: n.to_string().into(),
                 weight: 1,
@@ -105,13 +105,13 @@
             b.iter(|| {
                 at = (at + 1) % asks.len();
                 now += Duration::from_micros(100);
-                let next = admission.next(&options, now, &asks[at]);
-                let done = admission::Done {
+                let next = admission.decide(&options, now, &asks[at]);
+                let done = admission::Completion {
                     rank: 0,
                     answered: 34,
                     refused: true,
                 };
-                admission.done(&options, now, &done);
+                admission.record_completion(&options, now, &done);
                 next
             });
         });
@@ -141,7 +141,7 @@
                 b.iter(|| {
                     n += 1;
                     let job = jobs[(n % 150) as usize].clone();
-                    let ahead = queue.ahead(&job);
+                    let ahead = queue.work_ahead(&job);
                     queue.push(n, job, n);
                     (ahead, queue.pop(&options, NOW, Slot::Open))
                 });
--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -257,7 +257,7 @@
             let answer = answer.clone();
             return vec![Effect::Answer { request, answer }];
         }
-        if let coalescing::Next::Join(run) = self.runs.next(coalescing, &key) {
+        if let coalescing::Decision::Join(run) = self.runs.decide(coalescing, &key) {
             self.counts.add("lentillift_coalesced_total");
             self.enter(request, run, ask, query.deadline, query.rank);
             return Vec::new();
@@ -334,7 +334,7 @@
         let Some(map) = plan::snapshot(&self.view, &ask.service, &self.gone, now) else {
             return Err(Refusal::new(Cause::NoSnapshot, "no snapshot is published"));
         };
-        let deadline = partial::due(&self.policy.partial, now, ask.allowance);
+        let deadline = partial::answer_deadline(&self.policy.partial, now, ask.allowance);
         let class = config.class(service, &ask.caller);
         let mut query = Query::new(ask.clone(), map.clone(), now, deadline);
         query.rank = class.map_or(u8::MAX, |class| class.rank);
@@ -345,16 +345,16 @@
     fn admit(&mut self, now: Time, query: &Query) -> Result<(), Refusal> {
         let config = self.view.values.config.as_ref();
         let caller = config.and_then(|config| config.callers.get(&query.ask.caller));
-        let ask = admission::Ask {
+        let ask = admission::Request {
             rank: query.rank,
             caller: query.ask.caller.clone(),
             weight: caller.map_or(1, |caller| caller.weight),
             cost: query.map.parts.len() as u32,
         };
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        match pace.admission.next(&self.policy.admission, now, &ask) {
-            admission::Next::Take => Ok(()),
-            admission::Next::Refuse { retry_after } => {
+        match pace.admission.decide(&self.policy.admission, now, &ask) {
+            admission::Decision::Take => Ok(()),
+            admission::Decision::Refuse { retry_after } => {
                 self.counts.add("lentillift_admission_refused_total");
                 let detail = "more is asked than the service can answer in time";
                 Err(Refusal::new(Cause::Overload, detail).retry_after(retry_after))
--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -33,8 +33,8 @@
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         let mut hedge_at = None;
         if !again {
-            pace.retry.sent(&self.policy.retry);
-            hedge_at = pace.hedge.sent(&self.policy.hedge, now);
+            pace.retry.record_sent(&self.policy.retry);
+            hedge_at = pace.hedge.record_sent(&self.policy.hedge, now);
         }
         self.send(now, run, position, backend, hedge_at, false)
     }
@@ -65,16 +65,16 @@
         let query = self.queries.get_mut(&run)?;
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         let busy = self.loads.is_busy(&self.policy.choice, now, &backend);
-        match pace.hedge.next(busy) {
-            hedge::Next::Send => {}
-            hedge::Next::Busy => {
+        match pace.hedge.decide(busy) {
+            hedge::Decision::Send => {}
+            hedge::Decision::Busy => {
                 self.counts.add("lentillift_hedges_busy_total");
-                if let Some(due) = pace.hedge.again(now) {
+                if let Some(due) = pace.hedge.retry_at(now) {
                     self.flights.set_hedge(run, position, due);
                 }
                 return None;
             }
-            hedge::Next::Spent => {
+            hedge::Decision::Spent => {
                 self.counts.add("lentillift_hedges_spent_total");
                 return None;
             }
@@ -104,7 +104,8 @@
         let candidates: Vec<Candidate<'_>> = usable
             .map(|backend| Candidate {
                 backend,
-                near: self.domain.as_ref() == view.backends.get(backend).map(|b| &b.server.domain),
+                same_domain: self.domain.as_ref()
+                    == view.backends.get(backend).map(|b| &b.server.domain),
             })
             .collect();
         let options = &self.policy.choice;
@@ -137,7 +138,7 @@
             body: query.ask.body.clone(),
             hedge,
         };
-        self.loads.sent(&backend);
+        self.loads.record_sent(&backend);
         let flight = Flight {
             run,
             position,
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -37,7 +37,7 @@
             return Vec::new();
         };
         if let Some(load) = load {
-            self.loads.note(now, &flight.backend, load);
+            self.loads.record(now, &flight.backend, load);
         }
         let mut effects = match result {
             sub::Result::Hits(hits) => self.answered(now, &flight, hits),
@@ -63,13 +63,13 @@
         };
         query.states[flight.position] = State::Answered(hits);
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        pace.retry.succeeded();
+        pace.retry.record_success();
         let rivals = self.flights.remove_shard(flight.run, flight.position);
         // A hedge's own time would tell nothing of the replica that was too slow.
         let first = rivals.iter().map(|(_, rival)| rival.since).min();
         let since = first.unwrap_or(flight.since).min(flight.since);
         pace.hedge
-            .replied(&self.policy.hedge, now.saturating_sub(since));
+            .record_reply(&self.policy.hedge, now.saturating_sub(since));
         if flight.hedge {
             self.counts.add("lentillift_hedges_won_total");
         }
@@ -103,8 +103,8 @@
         let tried = tried.clone();
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
         if flight.hedge && outcome == Outcome::NotRun {
-            pace.hedge.refused();
-            if let Some(due) = pace.hedge.again(now) {
+            pace.hedge.record_refused();
+            if let Some(due) = pace.hedge.retry_at(now) {
                 self.flights.set_hedge(flight.run, flight.position, due);
             }
         }
@@ -138,11 +138,11 @@
             idempotent: true,
             tries: tried.len() as u32,
         };
-        let again = match pace.retry.next(&self.policy.retry, &failed) {
-            retry::Next::Retry if now < deadline => {
+        let again = match pace.retry.decide(&self.policy.retry, &failed) {
+            retry::Decision::Retry if now < deadline => {
                 self.try_replica(now, flight.run, flight.position, tried, true)
             }
-            retry::Next::Spent | retry::Next::Refusing => {
+            retry::Decision::Spent | retry::Decision::Refusing => {
                 self.counts.add("lentillift_retries_denied_total");
                 None
             }
@@ -228,7 +228,7 @@
             let detail = format!("reached {}, asked for at least {least}", answer.coverage);
             let mut refusal = Refusal::new(Cause::Coverage, detail).outcome(query.outcome());
             if answer.coverage.missing.iter().any(|m| is_load(m.reason)) {
-                refusal = refusal.retry_after(admission::COME_BACK.0);
+                refusal = refusal.retry_after(admission::RETRY_AFTER_BOUNDS.0);
             }
             Effect::Refuse { request, refusal }
         } else {
@@ -262,7 +262,8 @@
         self.runs.close(&key(&query), run);
         let done = done(&query);
         let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        pace.admission.done(&self.policy.admission, now, &done);
+        pace.admission
+            .record_completion(&self.policy.admission, now, &done);
         cancel(self.flights.remove_run(run))
     }
 }
@@ -277,10 +278,10 @@
 }
 
 /// What a query that has ended tells the admission.
-fn done(query: &Query) -> admission::Done {
+fn done(query: &Query) -> admission::Completion {
     let states = query.states.iter();
     let refused = |state: &State| matches!(state, State::Missing(reason) if is_load(*reason));
-    admission::Done {
+    admission::Completion {
         rank: query.rank,
         answered: states.filter(|s| matches!(s, State::Answered(_))).count() as u32,
         refused: query.states.iter().any(refused),
