--- a/crates/lentillift-caller/src/call.rs
+++ b/crates/lentillift-caller/src/call.rs
@@ -4,8 +4,8 @@
 use lentillift_core::refusal::Refusal;
 use lentillift_entry::answer::Answer;
 use lentillift_entry::answer::Ask;
+use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
 use tokio::sync::oneshot;
 
 /// A call of a caller.
@@ -39,7 +39,7 @@
         /// The call's number.
         request: id::Request,
         /// What is asked.
-        submit: Submit,
+        submit: ActionRequest,
         /// Where the outcome goes.
         reply: oneshot::Sender<Settled>,
     },
--- a/crates/lentillift-caller/src/parse.rs
+++ b/crates/lentillift-caller/src/parse.rs
@@ -8,7 +8,7 @@
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
 use lentillift_entry::answer::Ask;
-use lentillift_once::submit::Submit;
+use lentillift_once::submit::ActionRequest;
 use serde::de::IgnoredAny;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -47,7 +47,7 @@
         caller: id::Caller,
     },
     /// A request that may run at most once.
-    Action(Submit),
+    Action(ActionRequest),
 }
 
 /// Why a request was not understood.
@@ -127,10 +127,10 @@
     })
 }
 
-fn action(service: &str, request: &Request<Bytes>) -> Result<Submit, Refusal> {
+fn action(service: &str, request: &Request<Bytes>) -> Result<ActionRequest, Refusal> {
     let headers = request.headers();
     serde_json::from_slice::<IgnoredAny>(request.body()).map_err(malformed)?;
-    Ok(Submit {
+    Ok(ActionRequest {
         service: service.into(),
         caller: caller(headers)?,
         allowance: allowance(headers)?,
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -16,8 +16,8 @@
 use lentillift_http::listener;
 use lentillift_http::listener::Options;
 use lentillift_http::listener::plain;
+use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -124,7 +124,7 @@
         }
     }
 
-    async fn action(&self, submit: Submit) -> Response<Bytes> {
+    async fn action(&self, submit: ActionRequest) -> Response<Bytes> {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, settled) = oneshot::channel();
         let call = Call::Action {
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -12,8 +12,8 @@
 use lentillift_fleet::sync;
 use lentillift_fleet::tenure::Transfer;
 use lentillift_once::record::Parcel;
+use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
 
 /// A message between two of the system's processes.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,7 +38,7 @@
         /// The request's number at the entry.
         request: id::Request,
         /// The request.
-        submit: Submit,
+        submit: ActionRequest,
     },
     /// A home answers such a request.
     Settled {
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -9,7 +9,7 @@
 use lentillift_once::submit;
 use std::time::Duration;
 
-/// See [`submit::Submit`].
+/// See [`submit::ActionRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Submit {
     key: String,
@@ -76,8 +76,8 @@
     }
 }
 
-impl From<submit::Submit> for Submit {
-    fn from(submit: submit::Submit) -> Self {
+impl From<submit::ActionRequest> for Submit {
+    fn from(submit: submit::ActionRequest) -> Self {
         Self {
             key: submit.key,
             service: submit.service.to_string(),
@@ -88,7 +88,7 @@
     }
 }
 
-impl From<Submit> for submit::Submit {
+impl From<Submit> for submit::ActionRequest {
     fn from(submit: Submit) -> Self {
         Self {
             key: submit.key,
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -12,13 +12,13 @@
 use lentillift_node::datagram;
 use lentillift_node::frame;
 use lentillift_node::message::Message;
-use lentillift_once::submit::Submit;
+use lentillift_once::submit::ActionRequest;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
 fn submit(request: u64, size: usize) -> Message {
-    let submit = Submit {
+    let submit = ActionRequest {
         key: "host-0.1.2.3.4".to_owned(),
         service: "file".into(),
         caller: "x".into(),
--- a/crates/lentillift-once/src/away.rs
+++ b/crates/lentillift-once/src/away.rs
@@ -8,8 +8,8 @@
 use crate::event::Effect;
 use crate::flight::RETRY_AFTER;
 use crate::key::Key;
+use crate::submit::ActionRequest;
 use crate::submit::Settled;
-use crate::submit::Submit;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::rendezvous;
@@ -22,7 +22,7 @@
 /// A request that was passed on.
 #[derive(Debug)]
 pub(crate) struct Away {
-    submit: Submit,
+    submit: ActionRequest,
     home: id::Host,
     /// The host that it is with now: the home, or the one that may have taken over from it.
     to: id::Host,
@@ -48,7 +48,7 @@
         now: Time,
         request: id::Request,
         key: &Key,
-        submit: Submit,
+        submit: ActionRequest,
         by: Time,
     ) -> Vec<Effect> {
         if self.away.len() >= MOST {
@@ -144,7 +144,7 @@
 }
 
 fn forward(now: Time, request: id::Request, away: &Away) -> Effect {
-    let submit = Submit {
+    let submit = ActionRequest {
         allowance: away.by.saturating_sub(now),
         ..away.submit.clone()
     };
--- a/crates/lentillift-once/src/core.rs
+++ b/crates/lentillift-once/src/core.rs
@@ -14,8 +14,8 @@
 use crate::quota::Quota;
 use crate::quota::Share;
 use crate::record;
+use crate::submit::ActionRequest;
 use crate::submit::Settled;
-use crate::submit::Submit;
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
@@ -251,7 +251,7 @@
     }
 
     /// Takes a request from a caller, here or on behalf of its home elsewhere.
-    fn call(&mut self, now: Time, request: id::Request, submit: Submit) -> Vec<Effect> {
+    fn call(&mut self, now: Time, request: id::Request, submit: ActionRequest) -> Vec<Effect> {
         let by = now + submit.allowance.min(self.longest()).saturating_sub(MARGIN);
         let asker = Asker::Caller(request);
         match submit.key.parse::<Key>() {
@@ -280,7 +280,7 @@
         now: Time,
         from: id::Host,
         request: id::Request,
-        submit: Submit,
+        submit: ActionRequest,
     ) -> Vec<Effect> {
         let by = now + submit.allowance.saturating_sub(MARGIN);
         match submit.key.parse::<Key>() {
@@ -296,7 +296,7 @@
         &mut self,
         now: Time,
         key: &Key,
-        submit: Submit,
+        submit: ActionRequest,
         asker: Asker,
         by: Time,
     ) -> Vec<Effect> {
--- a/crates/lentillift-once/src/event.rs
+++ b/crates/lentillift-once/src/event.rs
@@ -1,8 +1,8 @@
 //! What happens to the part that serves requests that may run at most once, and what it wants done.
 
 use crate::record::Parcel;
+use crate::submit::ActionRequest;
 use crate::submit::Settled;
-use crate::submit::Submit;
 use lentillift_core::id;
 use lentillift_core::refusal::Refusal;
 use lentillift_core::sub;
@@ -31,7 +31,7 @@
         /// The call's number.
         request: id::Request,
         /// The request.
-        submit: Submit,
+        submit: ActionRequest,
     },
     /// An entry passed on a request whose home may be here.
     Submit {
@@ -40,7 +40,7 @@
         /// The call's number there.
         request: id::Request,
         /// The request.
-        submit: Submit,
+        submit: ActionRequest,
     },
     /// A request that was passed on certainly never left this process.
     Undelivered {
@@ -125,7 +125,7 @@
         /// The call's number.
         request: id::Request,
         /// The request.
-        submit: Submit,
+        submit: ActionRequest,
     },
     /// Answer an entry that passed on a request.
     Answer {
--- a/crates/lentillift-once/src/flight.rs
+++ b/crates/lentillift-once/src/flight.rs
@@ -4,8 +4,8 @@
 use crate::core::Once;
 use crate::event::Effect;
 use crate::key::Key;
+use crate::submit::ActionRequest;
 use crate::submit::Settled;
-use crate::submit::Submit;
 use lentillift_core::id;
 use lentillift_core::outcome::Outcome;
 use lentillift_core::refusal::Cause;
@@ -58,7 +58,7 @@
 /// A request that was sent from here and whose result is awaited.
 #[derive(Debug)]
 pub(crate) struct Flight {
-    pub(crate) submit: Submit,
+    pub(crate) submit: ActionRequest,
     pub(crate) owner: id::Host,
     /// Backend servers that it was offered to, the last one now.
     tried: Vec<id::Backend>,
@@ -75,7 +75,7 @@
         &mut self,
         now: Time,
         key: &Key,
-        submit: Submit,
+        submit: ActionRequest,
         asker: Asker,
         by: Time,
     ) -> Vec<Effect> {
@@ -119,7 +119,7 @@
     }
 
     /// Why a request can't be sent at all.
-    fn objection(&self, now: Time, submit: &Submit, by: Time) -> Result<(), Settled> {
+    fn objection(&self, now: Time, submit: &ActionRequest, by: Time) -> Result<(), Settled> {
         if self.leaving.is_some() {
             let leaving =
                 Settled::not_run(Cause::Leaving, "the id's home is ending; take a new id");
--- a/crates/lentillift-once/src/submit.rs
+++ b/crates/lentillift-once/src/submit.rs
@@ -10,7 +10,7 @@
 
 /// A request that may run at most once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Submit {
+pub struct ActionRequest {
     /// The id that its home issued.
     pub key: String,
     /// The service.
--- a/crates/lentillift-once/tests/bounds.rs
+++ b/crates/lentillift-once/tests/bounds.rs
@@ -12,8 +12,8 @@
 use lentillift_once::event::Event;
 use lentillift_once::home;
 use lentillift_once::key::Key;
+use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
 use lentillift_settings::jsonc;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -80,7 +80,7 @@
     }
 
     fn send(&mut self, key: &Key, service: &str, allowance: Duration) -> Vec<Effect> {
-        let submit = Submit {
+        let submit = ActionRequest {
             key: key.to_string(),
             service: service.into(),
             caller: "hot".into(),
--- a/crates/lentillift-once/tests/explore/world.rs
+++ b/crates/lentillift-once/tests/explore/world.rs
@@ -11,7 +11,7 @@
 use lentillift_once::event::Effect;
 use lentillift_once::event::Event;
 use lentillift_once::home;
-use lentillift_once::submit::Submit;
+use lentillift_once::submit::ActionRequest;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::collections::BTreeMap;
@@ -286,7 +286,7 @@
                 self.next_call += 1;
                 let request = self.next_call;
                 self.calls.insert((host, request), id);
-                let submit = Submit {
+                let submit = ActionRequest {
                     key: self.ids[id].key.clone(),
                     service: self.ids[id].service.into(),
                     caller: "x".into(),
