--- a/crates/lentillift-caller/src/call.rs
+++ b/crates/lentillift-caller/src/call.rs
@@ -5,7 +5,7 @@
 use lentillift_entry::answer::Answer;
 use lentillift_entry::answer::Ask;
 use lentillift_once::submit::ActionRequest;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use tokio::sync::oneshot;
 
 /// A call of a caller.
@@ -41,6 +41,6 @@
         /// What is asked.
         submit: ActionRequest,
         /// Where the outcome goes.
-        reply: oneshot::Sender<Settled>,
+        reply: oneshot::Sender<ActionResponse>,
     },
 }
--- a/crates/lentillift-caller/src/render.rs
+++ b/crates/lentillift-caller/src/render.rs
@@ -12,7 +12,7 @@
 use lentillift_core::refusal::Refusal;
 use lentillift_entry::answer::Answer;
 use lentillift_http::listener::json;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use serde::Serialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -113,7 +113,7 @@
 }
 
 /// The outcome of a request that may run at most once.
-pub fn settled(settled: Settled) -> Response<Bytes> {
+pub fn settled(settled: ActionResponse) -> Response<Bytes> {
     let status = match (settled.outcome, settled.cause) {
         (Outcome::Done, _) => StatusCode::OK,
         (Outcome::NotRun, Some(cause)) => status(cause),
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -17,7 +17,7 @@
 use lentillift_http::listener::Options;
 use lentillift_http::listener::plain;
 use lentillift_once::submit::ActionRequest;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -134,7 +134,8 @@
         };
         let _ = self.calls.send(call).await;
         // Also when nobody took the call: the id may have come by another entry before.
-        let ending = |_| Settled::unknown("the process is ending; ask another with the same id");
+        let ending =
+            |_| ActionResponse::unknown("the process is ending; ask another with the same id");
         render::settled(settled.await.unwrap_or_else(ending))
     }
 }
--- a/crates/lentillift-caller/tests/contract.rs
+++ b/crates/lentillift-caller/tests/contract.rs
@@ -12,7 +12,7 @@
 use lentillift_core::refusal::Refusal;
 use lentillift_entry::answer::Answer;
 use lentillift_http::listener::Options;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -253,7 +253,7 @@
             panic!("not an action");
         };
         let body = b"{}".to_vec();
-        let settled = Settled {
+        let settled = ActionResponse {
             outcome,
             cause: None,
             retry_after: None,
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -13,7 +13,7 @@
 use lentillift_fleet::tenure::Transfer;
 use lentillift_once::record::Parcel;
 use lentillift_once::submit::ActionRequest;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 
 /// A message between two of the system's processes.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +45,7 @@
         /// The request's number at the entry.
         request: id::Request,
         /// What became of it.
-        settled: Settled,
+        settled: ActionResponse,
     },
     /// The host that was asked isn't the home of such a request.
     NotHome {
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -19,7 +19,7 @@
     body: Vec<u8>,
 }
 
-/// See [`submit::Settled`].
+/// See [`submit::ActionResponse`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Settled {
     outcome: Outcome,
@@ -100,8 +100,8 @@
     }
 }
 
-impl From<submit::Settled> for Settled {
-    fn from(settled: submit::Settled) -> Self {
+impl From<submit::ActionResponse> for Settled {
+    fn from(settled: submit::ActionResponse) -> Self {
         Self {
             outcome: settled.outcome.into(),
             cause: settled.cause.map(Into::into),
@@ -111,7 +111,7 @@
     }
 }
 
-impl From<Settled> for submit::Settled {
+impl From<Settled> for submit::ActionResponse {
     fn from(settled: Settled) -> Self {
         Self {
             outcome: settled.outcome.into(),
--- a/crates/lentillift-once/src/away.rs
+++ b/crates/lentillift-once/src/away.rs
@@ -9,7 +9,7 @@
 use crate::flight::RETRY_AFTER;
 use crate::key::Key;
 use crate::submit::ActionRequest;
-use crate::submit::Settled;
+use crate::submit::ActionResponse;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::rendezvous;
@@ -52,7 +52,8 @@
         by: Time,
     ) -> Vec<Effect> {
         if self.away.len() >= MOST {
-            let settled = Settled::unknown("too many requests are under way here; ask again");
+            let settled =
+                ActionResponse::unknown("too many requests are under way here; ask again");
             return vec![Effect::Settle {
                 request,
                 settled: settled.retry_after(RETRY_AFTER),
@@ -87,7 +88,7 @@
         &mut self,
         from: &id::Host,
         request: id::Request,
-        settled: Settled,
+        settled: ActionResponse,
     ) -> Vec<Effect> {
         match self.away.get(&request) {
             // An answer that is late finds nobody, or another host being asked.
@@ -134,7 +135,11 @@
     }
 
     /// Answers a caller whose time is up.
-    pub(crate) fn settle_away(&mut self, request: id::Request, settled: Settled) -> Vec<Effect> {
+    pub(crate) fn settle_away(
+        &mut self,
+        request: id::Request,
+        settled: ActionResponse,
+    ) -> Vec<Effect> {
         let Some(away) = self.away.remove(&request) else {
             return Vec::new();
         };
@@ -155,7 +160,7 @@
     }
 }
 
-pub(crate) fn unreachable() -> Settled {
+pub(crate) fn unreachable() -> ActionResponse {
     let detail = "the id's home can't be reached or is gone; ask again with the same id";
-    Settled::unknown(detail).retry_after(RETRY_AFTER)
+    ActionResponse::unknown(detail).retry_after(RETRY_AFTER)
 }
--- a/crates/lentillift-once/src/core.rs
+++ b/crates/lentillift-once/src/core.rs
@@ -15,7 +15,7 @@
 use crate::quota::Share;
 use crate::record;
 use crate::submit::ActionRequest;
-use crate::submit::Settled;
+use crate::submit::ActionResponse;
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
@@ -170,7 +170,7 @@
                 Due::Flight(key) => self.time_out(now, &key),
                 Due::Abandoned(key) => self.abandon(&key),
                 Due::Away(request) => {
-                    let settled = Settled::unknown("the id's home did not answer in time");
+                    let settled = ActionResponse::unknown("the id's home did not answer in time");
                     self.settle_away(request, settled.retry_after(RETRY_AFTER))
                 }
                 Due::Leave => self.leave_on(now),
@@ -260,7 +260,7 @@
             // What is not an id was never one, so that nothing can have run under it.
             Err(e) => {
                 let detail = format!("idempotency-key: {e}");
-                vec![asker.settle(Settled::not_run(Cause::Malformed, &detail))]
+                vec![asker.settle(ActionResponse::not_run(Cause::Malformed, &detail))]
             }
         }
     }
@@ -304,16 +304,16 @@
         let settled = match self.ids(key).look(now, key, &submit.caller, digest) {
             Next::Send => return self.launch(now, key, submit, asker, by),
             Next::Wait => return self.join(key, asker, by),
-            Next::Done(reply) => Settled::done(reply),
-            Next::Unknown => Settled::unknown("its reply was lost"),
-            Next::Expired => Settled::unknown("the id's lifetime is over"),
-            Next::Closed => Settled::not_run(
+            Next::Done(reply) => ActionResponse::done(reply),
+            Next::Unknown => ActionResponse::unknown("its reply was lost"),
+            Next::Expired => ActionResponse::unknown("the id's lifetime is over"),
+            Next::Closed => ActionResponse::not_run(
                 Cause::Closed,
                 "the id is closed and never ran; take a new one",
             ),
             Next::Mismatch => {
                 let detail = "the id belongs to another body, service or caller; take a new one";
-                Settled::not_run(Cause::Mismatch, detail)
+                ActionResponse::not_run(Cause::Mismatch, detail)
             }
         };
         vec![asker.settle(settled)]
--- a/crates/lentillift-once/src/event.rs
+++ b/crates/lentillift-once/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::record::Parcel;
 use crate::submit::ActionRequest;
-use crate::submit::Settled;
+use crate::submit::ActionResponse;
 use lentillift_core::id;
 use lentillift_core::refusal::Refusal;
 use lentillift_core::sub;
@@ -54,7 +54,7 @@
         /// The call's number.
         request: id::Request,
         /// What became of it.
-        settled: Settled,
+        settled: ActionResponse,
     },
     /// The host that a request was passed on to isn't its home.
     NotHome {
@@ -116,7 +116,7 @@
         /// The call's number.
         request: id::Request,
         /// What became of its request.
-        settled: Settled,
+        settled: ActionResponse,
     },
     /// Pass a request on to its home.
     Forward {
@@ -134,7 +134,7 @@
         /// The call's number there.
         request: id::Request,
         /// What became of the request.
-        settled: Settled,
+        settled: ActionResponse,
     },
     /// Tell an entry that this process isn't the home of a request's id.
     NotHome {
--- a/crates/lentillift-once/src/flight.rs
+++ b/crates/lentillift-once/src/flight.rs
@@ -5,7 +5,7 @@
 use crate::event::Effect;
 use crate::key::Key;
 use crate::submit::ActionRequest;
-use crate::submit::Settled;
+use crate::submit::ActionResponse;
 use lentillift_core::id;
 use lentillift_core::outcome::Outcome;
 use lentillift_core::refusal::Cause;
@@ -43,7 +43,7 @@
 
 impl Asker {
     /// Answers whoever waits.
-    pub(crate) fn settle(self, settled: Settled) -> Effect {
+    pub(crate) fn settle(self, settled: ActionResponse) -> Effect {
         match self {
             Self::Caller(request) => Effect::Settle { request, settled },
             Self::Entry(to, request) => Effect::Answer {
@@ -90,7 +90,7 @@
         let share = self.share(&submit.caller);
         if !share.is_some_and(|share| self.room.take(&submit.caller, share)) {
             self.ids(key).close(key.number);
-            let full = Settled::not_run(Cause::Overload, "too many requests are under way");
+            let full = ActionResponse::not_run(Cause::Overload, "too many requests are under way");
             return vec![asker.settle(full.retry_after(RETRY_AFTER))];
         }
         let digest = crate::record::digest(&submit.service, &submit.body);
@@ -119,15 +119,15 @@
     }
 
     /// Why a request can't be sent at all.
-    fn objection(&self, now: Time, submit: &ActionRequest, by: Time) -> Result<(), Settled> {
+    fn objection(&self, now: Time, submit: &ActionRequest, by: Time) -> Result<(), ActionResponse> {
         if self.leaving.is_some() {
             let leaving =
-                Settled::not_run(Cause::Leaving, "the id's home is ending; take a new id");
+                ActionResponse::not_run(Cause::Leaving, "the id's home is ending; take a new id");
             return Err(leaving.retry_after(RETRY_AFTER));
         }
         self.check(now, &submit.service, &submit.caller)
             .map_err(|refusal| {
-                let settled = Settled::not_run(refusal.cause, &refusal.detail);
+                let settled = ActionResponse::not_run(refusal.cause, &refusal.detail);
                 match refusal.retry_after {
                     Some(after) => settled.retry_after(after),
                     None => settled,
@@ -138,7 +138,7 @@
         if submit.allowance > Duration::from_millis(most) || by <= now {
             let found = submit.allowance.as_millis();
             let detail = format!("allowance: found {found} ms, up to {most} ms is right");
-            return Err(Settled::not_run(Cause::Allowance, &detail));
+            return Err(ActionResponse::not_run(Cause::Allowance, &detail));
         }
         Ok(())
     }
@@ -205,7 +205,7 @@
         if let Some(home) = self.try_ids(key) {
             home.done(key.number, &reply);
         }
-        self.settle_all(key, &Settled::done(Some(reply)))
+        self.settle_all(key, &ActionResponse::done(Some(reply)))
     }
 
     /// Offers a request that certainly did not run to another backend server, if time allows.
@@ -253,7 +253,7 @@
         self.settle_all(key, &lost())
     }
 
-    fn settle_all(&mut self, key: &Key, settled: &Settled) -> Vec<Effect> {
+    fn settle_all(&mut self, key: &Key, settled: &ActionResponse) -> Vec<Effect> {
         let Some(flight) = self.flights.remove(key) else {
             return Vec::new();
         };
@@ -274,7 +274,7 @@
         };
         let late = flight.askers.extract_if(.., |(_, by)| *by <= now);
         let late = late.map(|(asker, _)| {
-            let settled = Settled::unknown("no reply in time; ask again with the same id");
+            let settled = ActionResponse::unknown("no reply in time; ask again with the same id");
             asker.settle(settled.retry_after(RETRY_AFTER))
         });
         let effects: Vec<Effect> = late.collect();
@@ -296,11 +296,12 @@
     }
 }
 
-fn nowhere() -> Settled {
+fn nowhere() -> ActionResponse {
     let detail = "no backend server took it; take a new id to try again";
-    Settled::not_run(Cause::Overload, detail).retry_after(RETRY_AFTER)
+    ActionResponse::not_run(Cause::Overload, detail).retry_after(RETRY_AFTER)
 }
 
-fn lost() -> Settled {
-    Settled::unknown("the reply was lost; ask again with the same id").retry_after(RETRY_AFTER)
+fn lost() -> ActionResponse {
+    ActionResponse::unknown("the reply was lost; ask again with the same id")
+        .retry_after(RETRY_AFTER)
 }
--- a/crates/lentillift-once/src/submit.rs
+++ b/crates/lentillift-once/src/submit.rs
@@ -26,7 +26,7 @@
 
 /// What became of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settled {
+pub struct ActionResponse {
     /// What became of it.
     ///
     /// [`Outcome::NotRun`] is final: no copy of the request that is still on its way will run, and
@@ -41,7 +41,7 @@
     pub body: Vec<u8>,
 }
 
-impl Settled {
+impl ActionResponse {
     /// A backend server ran it; its reply may have been dropped since.
     pub fn done(reply: Option<Arc<[u8]>>) -> Self {
         let body = reply.map_or_else(
--- a/crates/lentillift-once/tests/bounds.rs
+++ b/crates/lentillift-once/tests/bounds.rs
@@ -13,7 +13,7 @@
 use lentillift_once::home;
 use lentillift_once::key::Key;
 use lentillift_once::submit::ActionRequest;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use lentillift_settings::jsonc;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -92,11 +92,11 @@
     }
 
     /// What a caller is told at once of an id.
-    fn told(&mut self, key: &Key) -> Settled {
+    fn told(&mut self, key: &Key) -> ActionResponse {
         self.told_of(key, "file", Duration::from_millis(100))
     }
 
-    fn told_of(&mut self, key: &Key, service: &str, allowance: Duration) -> Settled {
+    fn told_of(&mut self, key: &Key, service: &str, allowance: Duration) -> ActionResponse {
         match self.send(key, service, allowance).pop() {
             Some(Effect::Settle { settled, .. }) => settled,
             other => panic!("an answer at once: {other:?}"),
@@ -141,7 +141,7 @@
     for key in &keys {
         desk.run(key, vec![b'x'; 1000]);
     }
-    let told: Vec<Settled> = keys.iter().map(|key| desk.told(key)).collect();
+    let told: Vec<ActionResponse> = keys.iter().map(|key| desk.told(key)).collect();
     assert!(told.iter().all(|settled| settled.outcome == Outcome::Done));
     let kept = told.iter().filter(|settled| settled.body.len() == 1000);
     assert_eq!(kept.count(), 10);
--- a/crates/lentilliftd/src/once.rs
+++ b/crates/lentilliftd/src/once.rs
@@ -12,7 +12,7 @@
 use lentillift_once::core::Once;
 use lentillift_once::event::Effect;
 pub(crate) use lentillift_once::event::Event;
-use lentillift_once::submit::Settled;
+use lentillift_once::submit::ActionResponse;
 use lentillift_operator::server::Board;
 use lentillift_trace::record::Traced;
 use rand::rngs::StdRng;
@@ -42,7 +42,7 @@
 /// A caller that waits for the outcome of its request.
 #[derive(Debug)]
 struct Waiting {
-    reply: oneshot::Sender<Settled>,
+    reply: oneshot::Sender<ActionResponse>,
     service: id::Service,
     key: String,
 }
@@ -179,7 +179,7 @@
         }
     }
 
-    fn settle(&mut self, request: id::Request, settled: Settled) {
+    fn settle(&mut self, request: id::Request, settled: ActionResponse) {
         let outcome = match settled.outcome {
             Outcome::Done => "done",
             Outcome::NotRun => "not-run",
