--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -11,7 +11,7 @@
 use lentillift_fleet::grant::Verdict;
 use lentillift_fleet::sync;
 use lentillift_fleet::tenure::Transfer;
-use lentillift_once::record::Parcel;
+use lentillift_once::record::HandoverBatch;
 use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::ActionResponse;
 
@@ -53,7 +53,7 @@
         request: id::Request,
     },
     /// A home that ends hands over ids that it has given up.
-    Handover(Parcel),
+    Handover(HandoverBatch),
     /// A host has taken over what a parcel held.
     Taken {
         /// The parcel's number.
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -28,7 +28,7 @@
     body: Vec<u8>,
 }
 
-/// See [`record::Parcel`].
+/// See [`record::HandoverBatch`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Parcel {
     number: u64,
@@ -122,8 +122,8 @@
     }
 }
 
-impl From<record::Parcel> for Parcel {
-    fn from(parcel: record::Parcel) -> Self {
+impl From<record::HandoverBatch> for Parcel {
+    fn from(parcel: record::HandoverBatch) -> Self {
         Self {
             number: parcel.number,
             host: parcel.host.to_string(),
@@ -133,7 +133,7 @@
     }
 }
 
-impl From<Parcel> for record::Parcel {
+impl From<Parcel> for record::HandoverBatch {
     fn from(parcel: Parcel) -> Self {
         Self {
             number: parcel.number,
--- a/crates/lentillift-once/src/event.rs
+++ b/crates/lentillift-once/src/event.rs
@@ -1,6 +1,6 @@
 //! What happens to the part that serves requests that may run at most once, and what it wants done.
 
-use crate::record::Parcel;
+use crate::record::HandoverBatch;
 use crate::submit::ActionRequest;
 use crate::submit::ActionResponse;
 use lentillift_core::id;
@@ -80,7 +80,7 @@
         /// The process's host.
         from: id::Host,
         /// The ids.
-        parcel: Parcel,
+        parcel: HandoverBatch,
     },
     /// A host has taken over what a parcel held.
     Taken {
@@ -88,7 +88,7 @@
         number: u64,
     },
     /// A parcel certainly never left this process.
-    Returned(Parcel),
+    Returned(HandoverBatch),
     /// The process is to end.
     Leave {
         /// How long requests under way may still take.
@@ -155,7 +155,7 @@
         /// The host that is to take them over.
         to: id::Host,
         /// The ids.
-        parcel: Parcel,
+        parcel: HandoverBatch,
     },
     /// Tell a host that its parcel was taken over.
     Taken {
--- a/crates/lentillift-once/src/leave.rs
+++ b/crates/lentillift-once/src/leave.rs
@@ -10,7 +10,7 @@
 use crate::home::Home;
 use crate::key::Key;
 use crate::record::Carried;
-use crate::record::Parcel;
+use crate::record::HandoverBatch;
 use crate::record::State;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -116,7 +116,12 @@
     }
 
     /// Takes over ids that another process has given up.
-    pub(crate) fn adopt(&mut self, now: Time, from: id::Host, parcel: Parcel) -> Vec<Effect> {
+    pub(crate) fn adopt(
+        &mut self,
+        now: Time,
+        from: id::Host,
+        parcel: HandoverBatch,
+    ) -> Vec<Effect> {
         let at = (parcel.host.clone(), parcel.incarnation);
         let full = !self.adopted.contains_key(&at) && self.adopted.len() >= MOST_HOMES;
         if self.leaving.is_some() || full || self.home.is(&parcel.host, parcel.incarnation) {
@@ -139,8 +144,12 @@
 }
 
 /// Makes parcels that fit into frames.
-fn split(host: id::Host, incarnation: id::Incarnation, records: Vec<Carried>) -> Vec<Parcel> {
-    let mut parcels: Vec<Parcel> = Vec::new();
+fn split(
+    host: id::Host,
+    incarnation: id::Incarnation,
+    records: Vec<Carried>,
+) -> Vec<HandoverBatch> {
+    let mut parcels: Vec<HandoverBatch> = Vec::new();
     let mut bytes = 0;
     for carried in records {
         let reply = match &carried.state {
@@ -154,7 +163,7 @@
             }
             _ => {
                 bytes = reply;
-                parcels.push(Parcel {
+                parcels.push(HandoverBatch {
                     number: 0,
                     host: host.clone(),
                     incarnation,
--- a/crates/lentillift-once/src/record.rs
+++ b/crates/lentillift-once/src/record.rs
@@ -59,7 +59,7 @@
 
 /// Records of one home, handed over by a process that has given them up.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct HandoverBatch {
     /// Number of the parcel at the process that sent it.
     pub number: u64,
     /// The host that issued the ids.
