--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -37,7 +37,7 @@
     records: Vec<Carried>,
 }
 
-/// See [`record::Carried`].
+/// See [`record::HandoverRecord`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Carried {
     number: u64,
@@ -144,8 +144,8 @@
     }
 }
 
-impl From<record::Carried> for Carried {
-    fn from(carried: record::Carried) -> Self {
+impl From<record::HandoverRecord> for Carried {
+    fn from(carried: record::HandoverRecord) -> Self {
         let state = match carried.state {
             record::State::Unused => State::Unused,
             // Whoever takes over can't learn the result any more.
@@ -165,7 +165,7 @@
     }
 }
 
-impl From<Carried> for record::Carried {
+impl From<Carried> for record::HandoverRecord {
     fn from(carried: Carried) -> Self {
         let state = match carried.state {
             State::Unused => record::State::Unused,
--- a/crates/lentillift-once/src/home.rs
+++ b/crates/lentillift-once/src/home.rs
@@ -3,8 +3,8 @@
 use crate::key::Key;
 use crate::quota::Quota;
 use crate::quota::Share;
-use crate::record::Carried;
 use crate::record::Digest;
+use crate::record::HandoverRecord;
 use crate::record::Record;
 use crate::record::State;
 use lentillift_core::id;
@@ -241,11 +241,11 @@
     }
 
     /// Gives up all ids; the caller of this must never use `self` again to send.
-    pub fn give_up(&mut self, now: Time) -> Vec<Carried> {
+    pub fn give_up(&mut self, now: Time) -> Vec<HandoverRecord> {
         self.forget(now);
         let records = std::mem::take(&mut self.records).into_iter();
         records
-            .map(|(number, record)| Carried {
+            .map(|(number, record)| HandoverRecord {
                 number,
                 issued: record.issued,
                 secret: record.secret,
@@ -260,7 +260,7 @@
     }
 
     /// Takes over an id; one that was taken over before is not taken again.
-    pub fn adopt(&mut self, now: Time, carried: Carried) {
+    pub fn adopt(&mut self, now: Time, carried: HandoverRecord) {
         if carried.number <= self.last || self.records.len() >= self.options.most {
             return;
         }
--- a/crates/lentillift-once/src/leave.rs
+++ b/crates/lentillift-once/src/leave.rs
@@ -9,8 +9,8 @@
 use crate::event::Effect;
 use crate::home::Home;
 use crate::key::Key;
-use crate::record::Carried;
 use crate::record::HandoverBatch;
+use crate::record::HandoverRecord;
 use crate::record::State;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -147,7 +147,7 @@
 fn split(
     host: id::Host,
     incarnation: id::Incarnation,
-    records: Vec<Carried>,
+    records: Vec<HandoverRecord>,
 ) -> Vec<HandoverBatch> {
     let mut parcels: Vec<HandoverBatch> = Vec::new();
     let mut bytes = 0;
--- a/crates/lentillift-once/src/record.rs
+++ b/crates/lentillift-once/src/record.rs
@@ -42,7 +42,7 @@
 
 /// A record on its way to the host that takes over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Carried {
+pub struct HandoverRecord {
     /// The id's number.
     pub number: u64,
     /// The time of issue that stands in the id.
@@ -67,7 +67,7 @@
     /// Its incarnation.
     pub incarnation: id::Incarnation,
     /// The records, by rising number.
-    pub records: Vec<Carried>,
+    pub records: Vec<HandoverRecord>,
 }
 
 /// Hash of a body and the service it is for.
