--- a/crates/lentillift-caller/src/call.rs
+++ b/crates/lentillift-caller/src/call.rs
@@ -3,7 +3,7 @@
 use lentillift_core::id;
 use lentillift_core::refusal::Refusal;
 use lentillift_entry::answer::Answer;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_once::submit::ActionRequest;
 use lentillift_once::submit::ActionResponse;
 use tokio::sync::oneshot;
@@ -16,7 +16,7 @@
         /// The call's number.
         request: id::Request,
         /// What is asked.
-        ask: Ask,
+        ask: SearchRequest,
         /// Where the answer goes.
         reply: oneshot::Sender<Result<Answer, Refusal>>,
     },
--- a/crates/lentillift-caller/src/parse.rs
+++ b/crates/lentillift-caller/src/parse.rs
@@ -7,7 +7,7 @@
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_once::submit::ActionRequest;
 use serde::de::IgnoredAny;
 use serde_json::value::RawValue;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Route {
     /// A query.
-    Query(Ask),
+    Query(SearchRequest),
     /// An id for a request that may run at most once.
     Issue {
         /// The service that the id is for.
@@ -91,7 +91,7 @@
     .map_err(Fault::Refused)
 }
 
-fn query(service: &str, request: &Request<Bytes>) -> Result<Ask, Refusal> {
+fn query(service: &str, request: &Request<Bytes>) -> Result<SearchRequest, Refusal> {
     let headers = request.headers();
     let body: Body<'_> = serde_json::from_slice(request.body()).map_err(malformed)?;
     let limit = match body.get("limit") {
@@ -110,7 +110,7 @@
             "{LEAST_COVERAGE}: found {least_coverage}, from 0 to 1 is right"
         )));
     }
-    Ok(Ask {
+    Ok(SearchRequest {
         service: service.into(),
         caller: caller(headers)?,
         allowance: allowance(headers)?,
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -12,7 +12,7 @@
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_http::listener;
 use lentillift_http::listener::Options;
 use lentillift_http::listener::plain;
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn query(&self, ask: Ask) -> Response<Bytes> {
+    async fn query(&self, ask: SearchRequest) -> Response<Bytes> {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let call = Call::Query {
--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -8,7 +8,7 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::sub::Work;
 use lentillift_core::time::Time;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_entry::core as entry;
 use lentillift_entry::core::Entry;
 use lentillift_fleet::tenure::Hold;
@@ -220,7 +220,7 @@
             |b| {
                 b.iter(|| {
                     request += 1;
-                    let ask = Ask {
+                    let ask = SearchRequest {
                         service: setup::SERVICE.into(),
                         caller: "reader".into(),
                         allowance: Duration::from_millis(130),
--- a/crates/lentillift-entry/examples/cache.rs
+++ b/crates/lentillift-entry/examples/cache.rs
@@ -10,7 +10,7 @@
 use lentillift_core::sub::Failure;
 use lentillift_core::sub::Load;
 use lentillift_core::time::Time;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_entry::core::Effect;
 use lentillift_entry::core::Entry;
 use lentillift_entry::core::Event;
@@ -172,7 +172,7 @@
         self.next += 1;
         let request = self.next;
         self.waiting.insert((entry, request), self.now);
-        let ask = Ask {
+        let ask = SearchRequest {
             service: "s".into(),
             caller: "x".into(),
             allowance: ALLOWANCE,
--- a/crates/lentillift-entry/src/answer.rs
+++ b/crates/lentillift-entry/src/answer.rs
@@ -10,7 +10,7 @@
 
 /// A query as its caller put it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SearchRequest {
     /// The service to search.
     pub service: id::Service,
     /// The caller.
--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -6,7 +6,7 @@
 mod settle;
 
 use crate::answer::Answer;
-use crate::answer::Ask;
+use crate::answer::SearchRequest;
 use crate::flights::Flights;
 use crate::kept;
 use crate::kept::Kept;
@@ -52,7 +52,7 @@
         /// Number under which the answer is to be returned.
         request: id::Request,
         /// What the caller asked.
-        ask: Ask,
+        ask: SearchRequest,
     },
     /// The caller went away.
     Gone {
@@ -117,7 +117,7 @@
 #[derive(Debug)]
 struct Member {
     run: id::Request,
-    ask: Ask,
+    ask: SearchRequest,
     deadline: Time,
 }
 
@@ -243,7 +243,7 @@
             .retain(|name, _| config.is_some_and(|config| config.services.contains_key(name)));
     }
 
-    fn ask(&mut self, now: Time, request: id::Request, ask: Ask) -> Vec<Effect> {
+    fn ask(&mut self, now: Time, request: id::Request, ask: SearchRequest) -> Vec<Effect> {
         let query = match self.check(now, &ask) {
             Ok(query) => query,
             Err(refusal) => return vec![Effect::Refuse { request, refusal }],
@@ -288,7 +288,7 @@
         &mut self,
         request: id::Request,
         run: id::Request,
-        ask: Ask,
+        ask: SearchRequest,
         deadline: Time,
         rank: u8,
     ) {
@@ -303,7 +303,7 @@
     }
 
     /// Checks a query and pins it to a snapshot.
-    fn check(&self, now: Time, ask: &Ask) -> Result<Query, Refusal> {
+    fn check(&self, now: Time, ask: &SearchRequest) -> Result<Query, Refusal> {
         // A process that was paused or cut off knows nothing of what was taken out meanwhile.
         if !self.view.fresh(now) {
             return Err(Refusal::new(Cause::Stale, "no fresh view of the fleet")
--- a/crates/lentillift-entry/src/query.rs
+++ b/crates/lentillift-entry/src/query.rs
@@ -1,7 +1,7 @@
 //! One query's shards, replies and deadline.
 
 use crate::answer::Answer;
-use crate::answer::Ask;
+use crate::answer::SearchRequest;
 use lentillift_core::coverage::Coverage;
 use lentillift_core::coverage::Missing;
 use lentillift_core::coverage::Reason;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Query {
     /// What the first caller asked; the others differ in limit, least coverage and allowance only.
-    pub ask: Ask,
+    pub ask: SearchRequest,
     /// Rank of the best class among its callers.
     pub rank: u8,
     /// The callers that wait for it.
@@ -62,7 +62,7 @@
 
 impl Query {
     /// Starts a query of which no shard has been asked.
-    pub fn new(ask: Ask, map: Map, now: Time, deadline: Time) -> Self {
+    pub fn new(ask: SearchRequest, map: Map, now: Time, deadline: Time) -> Self {
         Self {
             fingerprint: Fingerprint::of("POST", &ask.service, "/v1/search", &ask.body),
             held: Vec::new(),
--- a/crates/lentillift-entry/tests/bench/load.rs
+++ b/crates/lentillift-entry/tests/bench/load.rs
@@ -4,7 +4,7 @@
 use super::backend::SAME;
 use lentillift_core::id;
 use lentillift_core::time::Time;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::time::Duration;
@@ -47,13 +47,13 @@
         }
     }
 
-    pub fn ask(&self, service: &str, request: id::Request) -> Ask {
+    pub fn ask(&self, service: &str, request: id::Request) -> SearchRequest {
         let body = match self.body {
             Body::Fresh => format!("{request}"),
             Body::Same => SAME.to_owned(),
             Body::Long => format!("{LONG}{request}"),
         };
-        Ask {
+        SearchRequest {
             service: service.into(),
             caller: self.caller.into(),
             allowance: self.allowance,
--- a/crates/lentillift-entry/tests/bench/report.rs
+++ b/crates/lentillift-entry/tests/bench/report.rs
@@ -5,7 +5,7 @@
 use lentillift_core::refusal::Refusal;
 use lentillift_core::time::Time;
 use lentillift_entry::answer::Answer;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -64,7 +64,13 @@
 }
 
 impl Caught {
-    pub fn ask(&mut self, now: Time, request: id::Request, label: &'static str, ask: &Ask) {
+    pub fn ask(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        label: &'static str,
+        ask: &SearchRequest,
+    ) {
         self.open.insert(request, (now, label, ask.allowance));
     }
 
--- a/crates/lentillift-entry/tests/fatal.rs
+++ b/crates/lentillift-entry/tests/fatal.rs
@@ -5,7 +5,7 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
 use lentillift_entry::answer::Answer;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_entry::core::Effect;
 use lentillift_entry::core::Entry;
 use lentillift_entry::core::Event;
@@ -63,8 +63,8 @@
     Arc::new(View::new(values, vec!["host-0".into(), "host-1".into()]))
 }
 
-fn question() -> Ask {
-    Ask {
+fn question() -> SearchRequest {
+    SearchRequest {
         service: "s".into(),
         caller: "x".into(),
         allowance: Duration::from_millis(100),
--- a/crates/lentillift-entry/tests/invariants.rs
+++ b/crates/lentillift-entry/tests/invariants.rs
@@ -11,7 +11,7 @@
 use lentillift_core::sub::Load;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_entry::core::Effect;
 use lentillift_entry::core::Entry;
 use lentillift_entry::core::Event;
@@ -88,7 +88,7 @@
                 self.next += 1;
                 let allowance = Duration::from_millis(ms);
                 self.open.insert(self.next, (self.now + allowance, limit));
-                let ask = Ask {
+                let ask = SearchRequest {
                     service: setup::SERVICE.into(),
                     caller: "reader".into(),
                     allowance,
--- a/crates/lentillift-entry/tests/snapshot.rs
+++ b/crates/lentillift-entry/tests/snapshot.rs
@@ -13,7 +13,7 @@
 use lentillift_core::sub::Work;
 use lentillift_core::time::Time;
 use lentillift_entry::answer::Answer;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_entry::core::Effect;
 use lentillift_entry::core::Entry;
 use lentillift_entry::core::Event;
@@ -168,7 +168,7 @@
             Step::Ask { least, body } => {
                 self.next += 1;
                 self.waiting.push((self.next, least));
-                let ask = Ask {
+                let ask = SearchRequest {
                     service: "s".into(),
                     caller: "x".into(),
                     allowance: Duration::from_millis(100),
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -5,7 +5,7 @@
 use lentillift_core::refusal::Refusal;
 use lentillift_core::time::Time;
 use lentillift_entry::answer::Answer;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_fleet::view::View;
 use lentillift_operator::board::Board;
 use lentillift_operator::event::Note;
@@ -41,7 +41,7 @@
 
 impl Series {
     /// The series of a query.
-    pub(crate) fn of(view: &View, ask: &Ask) -> Self {
+    pub(crate) fn of(view: &View, ask: &SearchRequest) -> Self {
         let config = view.values.config.as_ref();
         let known = config.and_then(|config| {
             let service = config.services.get(&ask.service)?;
