--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -186,7 +186,7 @@
     }
 
     /// Prefers backend servers in the failure domain that this process is in.
-    pub fn near(mut self, domain: id::Domain) -> Self {
+    pub fn with_domain(mut self, domain: id::Domain) -> Self {
         self.domain = Some(domain);
         self
     }
--- a/crates/lentillift-entry/tests/bench/mod.rs
+++ b/crates/lentillift-entry/tests/bench/mod.rs
@@ -114,7 +114,7 @@
         let entries = (0..setup.hosts).map(|n| {
             Entry::new(StdRng::seed_from_u64(rng.random()))
                 .keeping(0)
-                .near(near(n))
+                .with_domain(near(n))
         });
         let entries = entries.collect();
         let values = Values {
--- a/crates/lentillift-entry/tests/fatal.rs
+++ b/crates/lentillift-entry/tests/fatal.rs
@@ -118,7 +118,7 @@
 /// A failure domain is lost before any reply. The search that was in flight is answered by the other one.
 #[test]
 fn a_search_that_was_there_is_answered() {
-    let mut entry = Entry::new(StdRng::seed_from_u64(1)).near("a".into());
+    let mut entry = Entry::new(StdRng::seed_from_u64(1)).with_domain("a".into());
     entry.handle(Time::ZERO, Event::View(view()));
     let answer = ask_beside(&mut entry, Time::ZERO, 1, |backend| {
         backend.starts_with('a')
--- a/crates/lentillift-trace/src/core.rs
+++ b/crates/lentillift-trace/src/core.rs
@@ -43,7 +43,7 @@
     fn start(head: &Head) -> Self {
         let entry = Self::new(StdRng::seed_from_u64(head.seed));
         match &head.domain {
-            Some(domain) => entry.near(domain.clone()),
+            Some(domain) => entry.with_domain(domain.clone()),
             None => entry,
         }
     }
