--- a/crates/lentillift-once/src/event.rs
+++ b/crates/lentillift-once/src/event.rs
@@ -1,4 +1,7 @@
-//! What happens to the part that serves requests that may run at most once, and what it wants done.
+//! Inputs and outputs of [`crate::core::Once`].
+//!
+//! Both are recorded in traces and replayed, so the names of their variants and fields are part of
+//! a stored format.
 
 use crate::record::HandoverBatch;
 use crate::submit::ActionRequest;
@@ -13,134 +16,134 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What happens.
+/// An input of [`crate::core::Once`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// A caller wants an id.
+    /// A caller requests an id.
     Issue {
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
         /// The service that the id is for.
         service: id::Service,
         /// The caller.
         caller: id::Caller,
     },
-    /// A caller sent a request.
+    /// A caller of this process sent a request under an id.
     Call {
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
         /// The request.
         submit: ActionRequest,
     },
-    /// An entry passed on a request whose home may be here.
+    /// An entry on another host forwarded a request whose home may be this process.
     Submit {
         /// The entry's host.
         from: id::Host,
-        /// The call's number there.
+        /// Number of the caller's request at that entry.
         request: id::Request,
         /// The request.
         submit: ActionRequest,
     },
-    /// A request that was passed on certainly never left this process.
+    /// A forwarded request certainly never left this process.
     Undelivered {
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
     },
-    /// The home of a request that was passed on has answered.
+    /// The home of a forwarded request answered.
     Settled {
         /// The host that answered.
         from: id::Host,
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
-        /// What became of it.
+        /// The response for its caller.
         settled: ActionResponse,
     },
-    /// The host that a request was passed on to isn't its home.
+    /// The host that a request was forwarded to isn't its home.
     NotHome {
-        /// The host that answered.
+        /// The host that rejected the request.
         from: id::Host,
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
     },
     /// An owner answered a sub-request.
     Result {
-        /// The sub-request's number.
+        /// Number of the sub-request.
         id: id::Sub,
-        /// The result.
+        /// How the sub-request ended.
         result: sub::Result,
     },
-    /// The link to a host ended; what it was sent may or may not have arrived.
+    /// The link to a host ended; messages sent over it may or may not have arrived.
     Down {
-        /// The host.
+        /// The host at the other end of the link.
         host: id::Host,
     },
-    /// Another process has given up ids for this one to take over.
+    /// Another process hands over the records of its ids.
     Handover {
-        /// The process's host.
+        /// Host of that process.
         from: id::Host,
-        /// The ids.
+        /// The records.
         parcel: HandoverBatch,
     },
-    /// A host has taken over what a parcel held.
+    /// A host acknowledged a batch of records.
     Taken {
-        /// The parcel's number.
+        /// Number of the batch.
         number: u64,
     },
-    /// A parcel certainly never left this process.
+    /// A batch of records certainly never left this process.
     Returned(HandoverBatch),
-    /// The process is to end.
+    /// The process is shutting down.
     Leave {
-        /// How long requests under way may still take.
+        /// Time that requests in flight may still take.
         within: Duration,
     },
     /// The view of the fleet changed.
     View(Arc<View>),
-    /// Time passed.
+    /// A timer may be due; see [`crate::core::Once::next_wake`].
     Tick,
 }
 
-/// What is to be done.
+/// An output of [`crate::core::Once`]: an action for the process to carry out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// Give a caller its id, or turn it away.
+    /// Answer a caller's request for an id.
     Issued {
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
-        /// The id.
+        /// The id, or why none is issued.
         key: Result<String, Refusal>,
     },
-    /// Answer a caller of this process.
+    /// Answer a caller's request; the caller is connected to this process.
     Settle {
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
-        /// What became of its request.
+        /// The response.
         settled: ActionResponse,
     },
-    /// Pass a request on to its home.
+    /// Forward a request to its home.
     Forward {
-        /// The home.
+        /// The home, or the host that may have taken over from it.
         to: id::Host,
-        /// The call's number.
+        /// Number of the caller's request at its entry.
         request: id::Request,
         /// The request.
         submit: ActionRequest,
     },
-    /// Answer an entry that passed on a request.
+    /// Answer an entry that forwarded a request.
     Answer {
         /// The entry's host.
         to: id::Host,
-        /// The call's number there.
+        /// Number of the caller's request at that entry.
         request: id::Request,
-        /// What became of the request.
+        /// The response for its caller.
         settled: ActionResponse,
     },
-    /// Tell an entry that this process isn't the home of a request's id.
+    /// Reject a forwarded request because this process isn't the home of its id.
     NotHome {
         /// The entry's host.
         to: id::Host,
-        /// The call's number there.
+        /// Number of the caller's request at that entry.
         request: id::Request,
     },
     /// Send a sub-request to an owner.
@@ -150,20 +153,20 @@
         /// The sub-request.
         sub: Sub,
     },
-    /// Hand ids over.
+    /// Hand over the records of ids.
     Handover {
-        /// The host that is to take them over.
+        /// The host that takes them over.
         to: id::Host,
-        /// The ids.
+        /// The records.
         parcel: HandoverBatch,
     },
-    /// Tell a host that its parcel was taken over.
+    /// Acknowledge a batch of records.
     Taken {
-        /// The host.
+        /// The host that handed it over.
         to: id::Host,
-        /// The parcel's number.
+        /// Number of the batch.
         number: u64,
     },
-    /// Nothing is left to be done before the process ends.
+    /// The handover is complete or timed out; the process may end.
     Left,
 }
--- a/crates/lentillift-once/src/key.rs
+++ b/crates/lentillift-once/src/key.rs
@@ -4,23 +4,23 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest id that is parsed, in bytes.
-const LONGEST: usize = 512;
+/// Longest text that is parsed as an id, in bytes.
+const MAX_LENGTH: usize = 512;
 
-/// An id, as its home issued it.
+/// The idempotency key of a request: an id as its home issued it.
 ///
-/// Written `HOST.INCARNATION.ISSUED.NUMBER.SECRET` with the numbers in hexadecimal.
+/// Its text form is `HOST.INCARNATION.ISSUED.NUMBER.SECRET` with all numbers in hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The home: the host that issued the id and alone may send the request.
+    /// The home: the host that issued the id. No other host may send the request.
     pub host: id::Host,
-    /// The home's incarnation.
+    /// The incarnation of the home that issued the id; a restarted process has another one.
     pub incarnation: id::Incarnation,
-    /// When it was issued, in milliseconds since the incarnation's epoch.
+    /// Time of issue, in milliseconds since the incarnation's epoch.
     pub issued: u64,
-    /// Number within the incarnation; it rises with `issued`.
+    /// Sequence number within the incarnation; it increases with `issued`.
     pub number: u64,
-    /// Random, so that a stranger can't guess the ids of others and use them up.
+    /// Random, so that a client can't guess and use up the ids of other callers.
     pub secret: u64,
 }
 
@@ -38,9 +38,9 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.len() > LONGEST {
+        if text.len() > MAX_LENGTH {
             return Err(format!(
-                "found {} bytes, at most {LONGEST} is right",
+                "found {} bytes, at most {MAX_LENGTH} is right",
                 text.len()
             ));
         }
