--- a/crates/lentillift-once/src/core.rs
+++ b/crates/lentillift-once/src/core.rs
@@ -1,14 +1,14 @@
-//! All requests that may run at most once, as one process sees them.
+//! State machine of one process for requests that may run at most once.
 
-use crate::away::Away;
 use crate::event::Effect;
 use crate::event::Event;
-use crate::flight::Asker;
-use crate::flight::Flight;
-use crate::flight::RETRY_AFTER;
+use crate::forward::Forwarded;
 use crate::home;
-use crate::home::Home;
-use crate::home::Next;
+use crate::home::IdTable;
+use crate::home::Lookup;
+use crate::in_flight::InFlight;
+use crate::in_flight::RETRY_AFTER;
+use crate::in_flight::Waiter;
 use crate::key::Key;
 use crate::leave::Leaving;
 use crate::quota::Quota;
@@ -28,49 +28,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time kept back from an allowance on each leg, for the way back to whoever asked.
+/// Time subtracted from an allowance on each hop, so that the response still arrives in time.
 ///
-/// Hosts are under 1 ms apart and callers about 3 ms away.
-const MARGIN: Duration = Duration::from_millis(5);
+/// The latency between hosts is under 1 ms, that to callers about 3 ms.
+const RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// Largest allowance as long as there is no configuration that states one.
-const LONGEST_UNKNOWN: Duration = Duration::from_secs(10);
+/// Largest allowance while there is no configuration that states one.
+const DEFAULT_MAX_ALLOWANCE: Duration = Duration::from_secs(10);
 
-/// Requests under way from one home at most; each holds its body, of 64 KB at most.
-const MOST_FLIGHTS: usize = 512;
+/// Maximum number of requests in flight from one home; each holds its body of at most 64 KB.
+const MAX_IN_FLIGHT: usize = 512;
 
-/// What is due at a time.
+/// What a timer is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    /// Someone who waits for a request that was sent from here.
+pub(crate) enum Timer {
+    /// The deadline of a waiter for a request in flight.
     Flight(Key),
-    /// A request that was sent from here and that nobody waits for.
+    /// The end of a request in flight that has no waiters.
     Abandoned(Key),
-    /// A request that was passed on.
+    /// The deadline of a forwarded request.
     Away(id::Request),
-    /// The next step of the process's end.
+    /// The next stage of the shutdown.
     Leave,
 }
 
-/// All requests that may run at most once, as one process sees them.
+/// State machine of one process for requests that may run at most once.
+///
+/// It is both an entry, which takes requests from callers, and a home, which issues ids and sends
+/// the requests made under them.
 #[derive(Debug)]
 pub struct Once<R> {
     pub(crate) host: id::Host,
     pub(crate) incarnation: id::Incarnation,
     pub(crate) options: home::Options,
-    pub(crate) home: Home,
-    /// Ids of processes that have handed them over.
-    pub(crate) adopted: HashMap<(id::Host, id::Incarnation), Home>,
+    pub(crate) own_ids: IdTable,
+    /// Ids that other homes have handed over, by home.
+    pub(crate) adopted: HashMap<(id::Host, id::Incarnation), IdTable>,
     pub(crate) leaving: Option<Leaving>,
     pub(crate) view: Arc<View>,
-    pub(crate) flights: HashMap<Key, Flight>,
-    /// The sub-requests whose result may still come, also of requests that were given up.
-    pub(crate) subs: HashMap<id::Sub, Key>,
-    pub(crate) room: Quota,
-    pub(crate) away: HashMap<id::Request, Away>,
-    pub(crate) due: BTreeSet<(Time, Due)>,
+    pub(crate) in_flight: HashMap<Key, InFlight>,
+    /// Ids by sub-request whose result may still arrive, also of requests reported as unknown.
+    pub(crate) keys_by_sub: HashMap<id::Sub, Key>,
+    pub(crate) in_flight_quota: Quota,
+    pub(crate) forwarded: HashMap<id::Request, Forwarded>,
+    pub(crate) timers: BTreeSet<(Time, Timer)>,
     pub(crate) next_sub: id::Sub,
-    pub(crate) next_parcel: u64,
+    pub(crate) next_batch: u64,
     pub(crate) rng: R,
 }
 
@@ -78,36 +81,38 @@
 where
     R: Rng,
 {
-    /// Starts without a view, hence refusing everything.
+    /// Creates the state machine without a view of the fleet; it refuses everything until it gets
+    /// one.
     pub fn new(
         host: id::Host,
         incarnation: id::Incarnation,
         options: &home::Options,
         mut rng: R,
     ) -> Self {
-        // A late result for the process that ran here before must not be taken for one of ours: a
-        // notice would count as filed because another was. So numbers don't start where its did.
-        let first = rng.random::<u64>() >> 1;
+        // Numbers start at a random value so that a late result for the previous process on this
+        // host can't match one of ours. Otherwise a notice would count as filed because another
+        // was.
+        let first_number = rng.random::<u64>() >> 1;
         Self {
-            home: Home::new(host.clone(), incarnation, options),
+            own_ids: IdTable::new(host.clone(), incarnation, options),
             host,
             incarnation,
             options: *options,
             adopted: HashMap::new(),
             leaving: None,
             view: Arc::default(),
-            flights: HashMap::new(),
-            subs: HashMap::new(),
-            room: Quota::new(MOST_FLIGHTS),
-            away: HashMap::new(),
-            due: BTreeSet::new(),
-            next_sub: first,
-            next_parcel: first,
+            in_flight: HashMap::new(),
+            keys_by_sub: HashMap::new(),
+            in_flight_quota: Quota::new(MAX_IN_FLIGHT),
+            forwarded: HashMap::new(),
+            timers: BTreeSet::new(),
+            next_sub: first_number,
+            next_batch: first_number,
             rng,
         }
     }
 
-    /// Takes in an event and says what to do about it.
+    /// Handles an event and returns the effects to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = match event {
             Event::Issue {
@@ -118,24 +123,24 @@
                 request,
                 key: self.issue(now, &service, &caller),
             }],
-            Event::Call { request, submit } => self.call(now, request, submit),
+            Event::Call { request, submit } => self.handle_call(now, request, submit),
             Event::Submit {
                 from,
                 request,
                 submit,
-            } => self.submit(now, from, request, submit),
-            Event::Undelivered { request } => self.elsewhere(now, None, request),
+            } => self.handle_forwarded(now, from, request, submit),
+            Event::Undelivered { request } => self.try_successor(now, None, request),
             Event::Settled {
                 from,
                 request,
                 settled,
-            } => self.back(&from, request, settled),
-            Event::NotHome { from, request } => self.elsewhere(now, Some(&from), request),
-            Event::Result { id, result } => self.result(now, id, result),
-            Event::Down { host } => self.down(&host),
+            } => self.finish_from_home(&from, request, settled),
+            Event::NotHome { from, request } => self.try_successor(now, Some(&from), request),
+            Event::Result { id, result } => self.handle_result(now, id, result),
+            Event::Down { host } => self.handle_link_down(&host),
             Event::Handover { from, parcel } => self.adopt(now, from, parcel),
-            Event::Taken { number } => self.closed(now, number),
-            Event::Returned(parcel) => self.closed(now, parcel.number),
+            Event::Taken { number } => self.batch_closed(now, number),
+            Event::Returned(parcel) => self.batch_closed(now, parcel.number),
             Event::Leave { within } => self.leave(now, within),
             Event::View(view) => {
                 self.view = view;
@@ -145,51 +150,53 @@
         };
         effects.extend(self.expire(now));
         if matches!(self.leaving, Some(Leaving::Draining(_))) {
-            effects.extend(self.leave_on(now));
+            effects.extend(self.continue_leaving(now));
         }
         effects
     }
 
     /// When [`Event::Tick`] is next due.
     pub fn next_wake(&self) -> Option<Time> {
-        self.due.first().map(|(time, _)| *time)
+        self.timers.first().map(|(time, _)| *time)
     }
 
-    /// How many ids this process remembers, those taken over included.
+    /// Number of ids with a record, including those taken over from other homes.
     pub fn ids_held(&self) -> usize {
-        self.home.len() + self.adopted.values().map(Home::len).sum::<usize>()
+        self.own_ids.len() + self.adopted.values().map(IdTable::len).sum::<usize>()
     }
 
+    /// Runs the timers that are due and drops expired records.
     fn expire(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some((time, _)) = self.due.first()
+        while let Some((time, _)) = self.timers.first()
             && *time <= now
-            && let Some((_, due)) = self.due.pop_first()
+            && let Some((_, timer)) = self.timers.pop_first()
         {
-            effects.extend(match due {
-                Due::Flight(key) => self.time_out(now, &key),
-                Due::Abandoned(key) => self.abandon(&key),
-                Due::Away(request) => {
-                    let settled = ActionResponse::unknown("the id's home did not answer in time");
-                    self.settle_away(request, settled.retry_after(RETRY_AFTER))
+            effects.extend(match timer {
+                Timer::Flight(key) => self.time_out_waiters(now, &key),
+                Timer::Abandoned(key) => self.abandon(&key),
+                Timer::Away(request) => {
+                    let response = ActionResponse::unknown("the id's home did not answer in time");
+                    self.finish_forwarded(request, response.retry_after(RETRY_AFTER))
                 }
-                Due::Leave => self.leave_on(now),
+                Timer::Leave => self.continue_leaving(now),
             });
         }
-        self.adopted.retain(|_, home| {
-            home.forget(now);
-            !home.is_empty()
+        self.adopted.retain(|_, ids| {
+            ids.drop_expired(now);
+            !ids.is_empty()
         });
-        // A result that never comes must not hold its number for ever.
-        if self.subs.len() > self.options.most {
-            let oldest = self.next_sub - self.options.most as u64;
-            let flights = &self.flights;
-            self.subs
-                .retain(|id, key| *id > oldest || flights.contains_key(key));
+        // Bounds the memory for sub-requests whose result never arrives.
+        if self.keys_by_sub.len() > self.options.max_ids {
+            let oldest = self.next_sub - self.options.max_ids as u64;
+            let in_flight = &self.in_flight;
+            self.keys_by_sub
+                .retain(|id, key| *id > oldest || in_flight.contains_key(key));
         }
         effects
     }
 
+    /// Issues an id to a caller for a service.
     fn issue(
         &mut self,
         now: Time,
@@ -206,22 +213,22 @@
             total: 1,
         });
         let secret = self.rng.random();
-        let key = self.home.issue(now, caller, share, secret);
-        let full = || {
+        let key = self.own_ids.issue(now, caller, share, secret);
+        let too_many = || {
             let detail = format!("caller `{caller}` has too many ids in use");
             Refusal::new(Cause::Overload, detail).retry_after(RETRY_AFTER)
         };
-        key.map(|key| key.to_string()).ok_or_else(full)
+        key.map(|key| key.to_string()).ok_or_else(too_many)
     }
 
-    /// Checks that the configuration in force knows the caller, and the service as one of actions.
+    /// Checks that the current configuration has the caller, and the service as one of actions.
     pub(crate) fn check(
         &self,
         now: Time,
         service: &id::Service,
         caller: &id::Caller,
     ) -> Result<(), Refusal> {
-        // A process that was paused or cut off knows nothing of what was taken out meanwhile.
+        // A process that was paused or partitioned missed what was taken out of service meanwhile.
         if !self.view.fresh(now) {
             let refusal = Refusal::new(Cause::Stale, "no fresh view of the fleet");
             return Err(refusal.retry_after(RETRY_AFTER));
@@ -230,8 +237,8 @@
             let refusal = Refusal::new(Cause::Stale, "no configuration yet");
             return Err(refusal.retry_after(RETRY_AFTER));
         };
-        let known = config.services.get(service);
-        if known.is_none_or(|service| service.kind != Kind::Action) {
+        let configured = config.services.get(service);
+        if configured.is_none_or(|service| service.kind != Kind::Action) {
             let detail = format!("no service of actions `{service}`");
             return Err(Refusal::new(Cause::UnknownService, detail));
         }
@@ -242,7 +249,7 @@
         Ok(())
     }
 
-    /// A caller's weight among all configured ones.
+    /// A caller's weight and the total weight of all configured callers.
     pub(crate) fn share(&self, caller: &id::Caller) -> Option<Share> {
         let config = self.view.values.config.as_ref()?;
         let total = config.callers.values().map(|c| u64::from(c.weight)).sum();
@@ -250,107 +257,125 @@
         Some(Share { weight, total })
     }
 
-    /// Takes a request from a caller, here or on behalf of its home elsewhere.
-    fn call(&mut self, now: Time, request: id::Request, submit: ActionRequest) -> Vec<Effect> {
-        let by = now + submit.allowance.min(self.longest()).saturating_sub(MARGIN);
-        let asker = Asker::Caller(request);
+    /// Handles a request of a caller: serves it if its home is here, otherwise forwards it.
+    fn handle_call(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        submit: ActionRequest,
+    ) -> Vec<Effect> {
+        let deadline = now
+            + submit
+                .allowance
+                .min(self.max_wait())
+                .saturating_sub(RETURN_MARGIN);
+        let waiter = Waiter::Caller(request);
         match submit.key.parse::<Key>() {
-            Ok(key) if self.try_ids(&key).is_some() => self.serve(now, &key, submit, asker, by),
-            Ok(key) => self.pass(now, request, &key, submit, by),
-            // What is not an id was never one, so that nothing can have run under it.
+            Ok(key) if self.try_id_table(&key).is_some() => {
+                self.serve(now, &key, submit, waiter, deadline)
+            }
+            Ok(key) => self.forward_to_home(now, request, &key, submit, deadline),
+            // No home issues a malformed id, so nothing can have run under it.
             Err(e) => {
                 let detail = format!("idempotency-key: {e}");
-                vec![asker.settle(ActionResponse::not_run(Cause::Malformed, &detail))]
+                vec![waiter.answer(ActionResponse::not_run(Cause::Malformed, &detail))]
             }
         }
     }
 
-    /// Longest time that a request is kept waiting, whatever its caller states.
+    /// Maximum time that a request is kept waiting, whatever its allowance.
     ///
-    /// Twice what may be stated, so that its home still sees that too much was.
-    fn longest(&self) -> Duration {
+    /// Twice the largest valid allowance, so that the home still sees and refuses an invalid one.
+    fn max_wait(&self) -> Duration {
         let config = self.view.values.config.as_ref();
-        let most = config.map(|config| Duration::from_millis(config.most_allowance_ms));
-        most.unwrap_or(LONGEST_UNKNOWN).saturating_mul(2)
+        let max_allowance = config.map(|config| Duration::from_millis(config.most_allowance_ms));
+        max_allowance
+            .unwrap_or(DEFAULT_MAX_ALLOWANCE)
+            .saturating_mul(2)
     }
 
-    /// Takes a request that an entry has passed on.
-    fn submit(
+    /// Handles a request that an entry on another host forwarded.
+    fn handle_forwarded(
         &mut self,
         now: Time,
         from: id::Host,
         request: id::Request,
         submit: ActionRequest,
     ) -> Vec<Effect> {
-        let by = now + submit.allowance.saturating_sub(MARGIN);
+        let deadline = now + submit.allowance.saturating_sub(RETURN_MARGIN);
         match submit.key.parse::<Key>() {
-            Ok(key) if self.try_ids(&key).is_some() => {
-                self.serve(now, &key, submit, Asker::Entry(from, request), by)
+            Ok(key) if self.try_id_table(&key).is_some() => {
+                self.serve(now, &key, submit, Waiter::Entry(from, request), deadline)
             }
             _ => vec![Effect::NotHome { to: from, request }],
         }
     }
 
-    /// Runs a request whose home is here, unless it ran before.
+    /// Serves a request whose home is here: sends it, waits for it, or answers from its record.
     fn serve(
         &mut self,
         now: Time,
         key: &Key,
         submit: ActionRequest,
-        asker: Asker,
-        by: Time,
+        waiter: Waiter,
+        deadline: Time,
     ) -> Vec<Effect> {
         let digest = record::digest(&submit.service, &submit.body);
-        let settled = match self.ids(key).look(now, key, &submit.caller, digest) {
-            Next::Send => return self.launch(now, key, submit, asker, by),
-            Next::Wait => return self.join(key, asker, by),
-            Next::Done(reply) => ActionResponse::done(reply),
-            Next::Unknown => ActionResponse::unknown("its reply was lost"),
-            Next::Expired => ActionResponse::unknown("the id's lifetime is over"),
-            Next::Closed => ActionResponse::not_run(
+        let response = match self.id_table(key).lookup(now, key, &submit.caller, digest) {
+            Lookup::Send => return self.send_new(now, key, submit, waiter, deadline),
+            Lookup::Wait => return self.add_waiter(key, waiter, deadline),
+            Lookup::Done(reply) => ActionResponse::done(reply),
+            Lookup::Unknown => ActionResponse::unknown("its reply was lost"),
+            Lookup::Expired => ActionResponse::unknown("the id's lifetime is over"),
+            Lookup::Closed => ActionResponse::not_run(
                 Cause::Closed,
                 "the id is closed and never ran; take a new one",
             ),
-            Next::Mismatch => {
+            Lookup::Mismatch => {
                 let detail = "the id belongs to another body, service or caller; take a new one";
                 ActionResponse::not_run(Cause::Mismatch, detail)
             }
         };
-        vec![asker.settle(settled)]
+        vec![waiter.answer(response)]
     }
 
-    /// What was under way at a host whose link ended may or may not have run.
-    fn down(&mut self, host: &id::Host) -> Vec<Effect> {
-        let mut effects = self.away_down(host);
-        let lost = self.flights.iter().filter(|(_, f)| f.owner == *host);
+    /// Ends all requests at a host whose link ended; they may or may not have run.
+    fn handle_link_down(&mut self, host: &id::Host) -> Vec<Effect> {
+        let mut effects = self.fail_forwarded(host);
+        let lost = self
+            .in_flight
+            .iter()
+            .filter(|(_, request)| request.owner == *host);
         let mut lost: Vec<Key> = lost.map(|(key, _)| key.clone()).collect();
         lost.sort_unstable();
         for key in lost {
-            effects.extend(self.lose(&key));
+            effects.extend(self.mark_unknown(&key));
         }
         effects
     }
 
-    /// The ids that `key` belongs to, if this process may speak for them.
-    pub(crate) fn try_ids(&mut self, key: &Key) -> Option<&mut Home> {
+    /// The table of ids that `key` belongs to.
+    ///
+    /// None if this process is not the home of `key`, or has given up its ids.
+    pub(crate) fn try_id_table(&mut self, key: &Key) -> Option<&mut IdTable> {
         if matches!(self.leaving, Some(Leaving::GivenUp { .. } | Leaving::Left)) {
             return None;
         }
-        if self.home.holds(key) {
-            return Some(&mut self.home);
+        if self.own_ids.is_issuer_of(key) {
+            return Some(&mut self.own_ids);
         }
         self.adopted.get_mut(&(key.host.clone(), key.incarnation))
     }
 
-    /// The ids that `key` belongs to; asked only after [`Self::try_ids`] has found them.
-    pub(crate) fn ids(&mut self, key: &Key) -> &mut Home {
+    /// The table of ids that `key` belongs to; to be used only after [`Self::try_id_table`] found
+    /// it.
+    pub(crate) fn id_table(&mut self, key: &Key) -> &mut IdTable {
         let at = (key.host.clone(), key.incarnation);
         match self.adopted.contains_key(&at) {
-            true => self
-                .adopted
-                .entry(at)
-                .or_insert_with(|| Home::adopted(key.host.clone(), key.incarnation, &self.options)),
-            false => &mut self.home,
+            true => self.adopted.entry(at).or_insert_with(|| {
+                IdTable::adopted(key.host.clone(), key.incarnation, &self.options)
+            }),
+            false => &mut self.own_ids,
         }
     }
 }
--- a/crates/lentillift-once/src/home.rs
+++ b/crates/lentillift-once/src/home.rs
@@ -1,4 +1,4 @@
-//! The ids of one home and where they stand.
+//! The ids that one home issued, with the state of each request.
 
 use crate::key::Key;
 use crate::quota::Quota;
@@ -14,96 +14,96 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Figures of a home.
+/// Limits of a home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// How long the result of an id is remembered after the id was issued.
+    /// How long the record of an id is kept, from the time of issue.
     pub lifetime: Duration,
-    /// How long an id that was not used is kept.
-    pub unused: Duration,
-    /// Ids that are remembered at most; about 250 bytes each, its reply not counted.
-    pub most: usize,
-    /// Bytes of replies that are remembered at most; the oldest are dropped first.
-    pub replies: usize,
+    /// How long an unused id stays valid, from the time of issue.
+    pub unused_lifetime: Duration,
+    /// Maximum number of records; each takes about 250 bytes, its reply not counted.
+    pub max_ids: usize,
+    /// Maximum bytes of replies that are kept; the oldest replies are dropped first.
+    pub max_reply_bytes: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             lifetime: Duration::from_secs(600),
-            unused: Duration::from_secs(60),
-            most: 20_000,
-            replies: 4 * 1024 * 1024,
+            unused_lifetime: Duration::from_secs(60),
+            max_ids: 20_000,
+            max_reply_bytes: 4 * 1024 * 1024,
         }
     }
 }
 
-/// What an id says about a request that carries it.
+/// How a request is to be handled, by the record of its id.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
-    /// It may be sent.
+pub enum Lookup {
+    /// It was not sent yet, and may be.
     Send,
-    /// It is under way; wait for its result.
+    /// It is in flight; wait for its result.
     Wait,
-    /// It ran; this was the reply, if that is still kept.
+    /// It ran; holds the reply if that is still kept.
     Done(Option<Arc<[u8]>>),
-    /// It can't be known whether it ran.
+    /// It may or may not have run.
     Unknown,
-    /// The id's lifetime is over, so that it can't be known whether it ran.
+    /// The id's lifetime is over and its record dropped, so it may or may not have run.
     Expired,
-    /// It never ran and never will: the id was closed, never used in time, or never issued.
+    /// It never ran and never will: the id was closed, not used in time, or never issued.
     Closed,
     /// The id belongs to another body, service or caller.
     Mismatch,
 }
 
-/// The ids of one home and where they stand.
+/// The ids that one home issued, with the state of each request.
 #[derive(Debug)]
-pub struct Home {
+pub struct IdTable {
     host: id::Host,
     incarnation: id::Incarnation,
     options: Options,
     /// Whether this process issued the ids itself.
-    // INVARIANT: If so, an id whose lifetime is not over and that has no record was never sent, or
-    // certainly reached no backend server; having no record, it is never sent again.
-    own: bool,
+    // INVARIANT: If true, an id within its lifetime that has no record was never sent, or certainly
+    // reached no backend server. Without a record it is never sent again.
+    issued_here: bool,
     records: BTreeMap<u64, Record>,
-    /// Numbers in the order in which they are dropped if unused.
-    unused: VecDeque<(Time, u64)>,
-    /// Numbers whose reply is kept, oldest first.
-    replies: VecDeque<u64>,
+    /// Numbers with the time at which each is dropped if still unused, in order of time.
+    unused_queue: VecDeque<(Time, u64)>,
+    /// Numbers of the records with a reply, oldest first.
+    reply_order: VecDeque<u64>,
     reply_bytes: usize,
     quota: Quota,
-    /// The last number that was issued or taken over.
-    last: u64,
+    /// The highest number that was issued or taken over.
+    last_number: u64,
 }
 
-impl Home {
-    /// Starts without ids, for those that this process will issue.
+impl IdTable {
+    /// Creates an empty table for the ids that this process issues.
     pub fn new(host: id::Host, incarnation: id::Incarnation, options: &Options) -> Self {
         Self {
             host,
             incarnation,
             options: *options,
-            own: true,
+            issued_here: true,
             records: BTreeMap::new(),
-            unused: VecDeque::new(),
-            replies: VecDeque::new(),
+            unused_queue: VecDeque::new(),
+            reply_order: VecDeque::new(),
             reply_bytes: 0,
-            quota: Quota::new(options.most),
-            last: 0,
+            quota: Quota::new(options.max_ids),
+            last_number: 0,
         }
     }
 
-    /// Starts without ids, for those that another process issued and has handed over.
+    /// Creates an empty table for ids that another process issued and handed over.
     pub fn adopted(host: id::Host, incarnation: id::Incarnation, options: &Options) -> Self {
         Self {
-            own: false,
+            issued_here: false,
             ..Self::new(host, incarnation, options)
         }
     }
 
-    /// Issues an id, unless its caller has too many.
+    /// Issues an id; none if the caller exceeds its quota.
     pub fn issue(
         &mut self,
         now: Time,
@@ -111,127 +111,130 @@
         share: Share,
         secret: u64,
     ) -> Option<Key> {
-        self.forget(now);
-        if !self.quota.take(caller, share) {
+        self.drop_expired(now);
+        if !self.quota.try_acquire(caller, share) {
             return None;
         }
-        self.last += 1;
+        self.last_number += 1;
         let issued = now.as_millis() as u64;
         let record = Record {
             issued,
             secret,
             caller: caller.clone(),
-            expires: now + self.options.lifetime,
+            expires_at: now + self.options.lifetime,
             state: State::Unused,
         };
-        self.records.insert(self.last, record);
-        self.unused
-            .push_back((now + self.options.unused, self.last));
+        self.records.insert(self.last_number, record);
+        self.unused_queue
+            .push_back((now + self.options.unused_lifetime, self.last_number));
         Some(Key {
             host: self.host.clone(),
             incarnation: self.incarnation,
             issued,
-            number: self.last,
+            number: self.last_number,
             secret,
         })
     }
 
-    /// Whether `key` was issued by the process whose ids these are.
-    pub fn holds(&self, key: &Key) -> bool {
-        self.is(&key.host, key.incarnation)
+    /// Whether `key` names this home and incarnation as its issuer.
+    pub fn is_issuer_of(&self, key: &Key) -> bool {
+        self.belongs_to(&key.host, key.incarnation)
     }
 
-    /// Whether these are the ids of `incarnation` of `host`.
-    pub fn is(&self, host: &str, incarnation: id::Incarnation) -> bool {
+    /// Whether the ids in this table are those of `incarnation` of `host`.
+    pub fn belongs_to(&self, host: &str, incarnation: id::Incarnation) -> bool {
         &*self.host == host && self.incarnation == incarnation
     }
 
-    /// How many ids are remembered.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no id is remembered.
+    /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Says what `key` allows; changes nothing but to drop what is out of date.
-    pub fn look(&mut self, now: Time, key: &Key, caller: &str, digest: Digest) -> Next {
-        self.forget(now);
+    /// Looks up how a request under `key` is to be handled.
+    ///
+    /// Changes no record but drops expired ones.
+    pub fn lookup(&mut self, now: Time, key: &Key, caller: &str, digest: Digest) -> Lookup {
+        self.drop_expired(now);
         let Some(record) = self.records.get(&key.number) else {
-            return self.without_record(now, key);
+            return self.lookup_without_record(now, key);
         };
         if (record.issued, record.secret) != (key.issued, key.secret) {
-            return Next::Closed;
+            return Lookup::Closed;
         }
         if &*record.caller != caller {
-            return Next::Mismatch;
+            return Lookup::Mismatch;
         }
         match &record.state {
-            State::Unused => Next::Send,
+            State::Unused => Lookup::Send,
             State::Sent(sent) | State::Done(sent, _) | State::Unknown(sent) if *sent != digest => {
-                Next::Mismatch
+                Lookup::Mismatch
             }
-            State::Sent(_) => Next::Wait,
-            State::Done(_, reply) => Next::Done(reply.clone()),
-            State::Unknown(_) => Next::Unknown,
+            State::Sent(_) => Lookup::Wait,
+            State::Done(_, reply) => Lookup::Done(reply.clone()),
+            State::Unknown(_) => Lookup::Unknown,
         }
     }
 
-    fn without_record(&self, now: Time, key: &Key) -> Next {
+    /// How a request is to be handled whose id has no record.
+    fn lookup_without_record(&self, now: Time, key: &Key) -> Lookup {
         let issued = Duration::from_millis(key.issued);
-        if !self.own {
-            return Next::Expired;
+        if !self.issued_here {
+            return Lookup::Expired;
         }
-        // An id from the future was forged: it is none of ours, and nobody else may send it either.
-        if issued > now || key.number > self.last {
-            return Next::Closed;
+        // An id issued in the future is forged. No process issued it, so none may send it.
+        if issued > now || key.number > self.last_number {
+            return Lookup::Closed;
         }
         match issued + self.options.lifetime > now {
-            true => Next::Closed,
-            false => Next::Expired,
+            true => Lookup::Closed,
+            false => Lookup::Expired,
         }
     }
 
-    /// Notes that a request is being sent.
-    pub fn start(&mut self, number: u64, digest: Digest) {
-        self.change(number, |_| State::Sent(digest));
+    /// Records that the request is being sent.
+    pub fn mark_sent(&mut self, number: u64, digest: Digest) {
+        self.update_state(number, |_| State::Sent(digest));
     }
 
-    /// Notes that a backend server ran the request.
-    pub fn done(&mut self, number: u64, reply: &Arc<[u8]>) {
+    /// Records that a backend server ran the request.
+    pub fn mark_done(&mut self, number: u64, reply: &Arc<[u8]>) {
         let before = self.records.get(&number).map(|record| &record.state);
         let Some(State::Sent(digest) | State::Unknown(digest)) = before else {
             return;
         };
         let done = State::Done(*digest, Some(reply.clone()));
-        self.change(number, |_| done);
-        self.replies.push_back(number);
+        self.update_state(number, |_| done);
+        self.reply_order.push_back(number);
         self.reply_bytes += reply.len();
-        self.drop_replies();
+        self.drop_oldest_replies();
     }
 
-    /// Notes that no backend server ran the request; its id may be used again.
-    pub fn release(&mut self, number: u64) {
-        self.change(number, |state| match state {
+    /// Records that no backend server ran the request; its id may be used again.
+    pub fn mark_not_run(&mut self, number: u64) {
+        self.update_state(number, |state| match state {
             State::Sent(_) | State::Unknown(_) => State::Unused,
             other => other,
         });
     }
 
-    /// Notes that it can't be known whether the request ran.
-    pub fn unknown(&mut self, number: u64) {
-        self.change(number, |state| match state {
+    /// Records that the request may or may not have run.
+    pub fn mark_unknown(&mut self, number: u64) {
+        self.update_state(number, |state| match state {
             State::Sent(digest) => State::Unknown(digest),
             other => other,
         });
     }
 
-    /// Closes an id that certainly never ran, because its caller is being told so.
+    /// Closes an id whose request certainly did not run, before its caller is answered "not run".
     ///
-    /// Without this a copy of the request that is delayed on its way through another entry would
-    /// run after its caller was told "not run", and the caller that filed again would see two.
+    /// Otherwise a copy of the request that is delayed on its way through another entry would run
+    /// after that answer, and a caller that filed its notice again would see two.
     pub fn close(&mut self, number: u64) {
         if let Some(record) = self.records.get(&number)
             && record.state == State::Unused
@@ -240,9 +243,9 @@
         }
     }
 
-    /// Gives up all ids; the caller of this must never use `self` again to send.
-    pub fn give_up(&mut self, now: Time) -> Vec<HandoverRecord> {
-        self.forget(now);
+    /// Takes all records out for a handover; `self` must not be used to send afterwards.
+    pub fn take_records(&mut self, now: Time) -> Vec<HandoverRecord> {
+        self.drop_expired(now);
         let records = std::mem::take(&mut self.records).into_iter();
         records
             .map(|(number, record)| HandoverRecord {
@@ -250,7 +253,7 @@
                 issued: record.issued,
                 secret: record.secret,
                 caller: record.caller,
-                left: record.expires - now,
+                left: record.expires_at - now,
                 state: match record.state {
                     State::Sent(digest) => State::Unknown(digest),
                     other => other,
@@ -259,38 +262,39 @@
             .collect()
     }
 
-    /// Takes over an id; one that was taken over before is not taken again.
-    pub fn adopt(&mut self, now: Time, carried: HandoverRecord) {
-        if carried.number <= self.last || self.records.len() >= self.options.most {
+    /// Takes over a record; one that was taken over before is ignored.
+    pub fn take_over(&mut self, now: Time, handed_over: HandoverRecord) {
+        if handed_over.number <= self.last_number || self.records.len() >= self.options.max_ids {
             return;
         }
-        self.last = carried.number;
-        self.quota.force(&carried.caller);
-        if let State::Done(_, Some(reply)) = &carried.state {
-            self.replies.push_back(carried.number);
+        self.last_number = handed_over.number;
+        self.quota.acquire_unchecked(&handed_over.caller);
+        if let State::Done(_, Some(reply)) = &handed_over.state {
+            self.reply_order.push_back(handed_over.number);
             self.reply_bytes += reply.len();
         }
         let record = Record {
-            issued: carried.issued,
-            secret: carried.secret,
-            caller: carried.caller,
-            expires: now + carried.left.min(self.options.lifetime),
-            state: carried.state,
+            issued: handed_over.issued,
+            secret: handed_over.secret,
+            caller: handed_over.caller,
+            expires_at: now + handed_over.left.min(self.options.lifetime),
+            state: handed_over.state,
         };
-        self.records.insert(carried.number, record);
-        self.drop_replies();
+        self.records.insert(handed_over.number, record);
+        self.drop_oldest_replies();
     }
 
-    fn change(&mut self, number: u64, change: impl FnOnce(State) -> State) {
+    fn update_state(&mut self, number: u64, update: impl FnOnce(State) -> State) {
         if let Some(record) = self.records.get_mut(&number) {
             let before = std::mem::replace(&mut record.state, State::Unused);
-            record.state = change(before);
+            record.state = update(before);
         }
     }
 
-    fn drop_replies(&mut self) {
-        while self.reply_bytes > self.options.replies
-            && let Some(number) = self.replies.pop_front()
+    /// Drops the oldest replies until the rest fits the limit.
+    fn drop_oldest_replies(&mut self) {
+        while self.reply_bytes > self.options.max_reply_bytes
+            && let Some(number) = self.reply_order.pop_front()
         {
             if let Some(record) = self.records.get_mut(&number)
                 && let State::Done(_, reply) = &mut record.state
@@ -305,29 +309,31 @@
         let Some(record) = self.records.remove(&number) else {
             return;
         };
-        self.quota.give(&record.caller);
+        self.quota.release(&record.caller);
         if let State::Done(_, Some(reply)) = record.state {
             self.reply_bytes -= reply.len();
         }
     }
 
-    /// Drops the ids whose lifetime is over. Numbers rise with time, so the oldest come first.
-    pub fn forget(&mut self, now: Time) {
-        while let Some((due, number)) = self.unused.front().copied()
-            && due <= now
+    /// Drops unused ids that are past their limit and records past their lifetime.
+    ///
+    /// Numbers increase with time, so the oldest records come first.
+    pub fn drop_expired(&mut self, now: Time) {
+        while let Some((drop_at, number)) = self.unused_queue.front().copied()
+            && drop_at <= now
         {
-            self.unused.pop_front();
+            self.unused_queue.pop_front();
             self.close(number);
         }
         while let Some((number, record)) = self.records.first_key_value()
-            && record.expires <= now
+            && record.expires_at <= now
         {
             self.remove(*number);
         }
-        while let Some(number) = self.replies.front()
+        while let Some(number) = self.reply_order.front()
             && !self.records.contains_key(number)
         {
-            self.replies.pop_front();
+            self.reply_order.pop_front();
         }
     }
 }
--- a/crates/lentillift-once/src/leave.rs
+++ b/crates/lentillift-once/src/leave.rs
@@ -1,13 +1,14 @@
-//! The end of a home: it stops sending, then hands its ids over.
+//! Shutdown of a home: it stops sending, then hands the records of its ids over.
 //!
-//! The ids go to one host and this process gives them up before the parcels leave, so that at no
-//! time two processes may send the same id, whatever becomes of the parcels on their way.
+//! The records of one home go to one host. This process gives them up before it sends the batches,
+//! so that two processes never have the right to send the same id, even if batches are lost or
+//! delayed.
 
-use crate::away;
-use crate::core::Due;
 use crate::core::Once;
+use crate::core::Timer;
 use crate::event::Effect;
-use crate::home::Home;
+use crate::forward;
+use crate::home::IdTable;
 use crate::key::Key;
 use crate::record::HandoverBatch;
 use crate::record::HandoverRecord;
@@ -18,29 +19,29 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Records that go into one parcel at most.
-const MOST_RECORDS: usize = 500;
+/// Maximum number of records in one batch.
+const MAX_BATCH_RECORDS: usize = 500;
 
-/// Bytes of replies that go into one parcel at most, well below the largest frame.
-const MOST_BYTES: usize = 256 * 1024;
+/// Maximum bytes of replies in one batch, well below the largest frame.
+const MAX_BATCH_REPLY_BYTES: usize = 256 * 1024;
 
-/// Longest wait for the host that takes over; ten round trips within a region and more.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout for acknowledgements of batches; more than ten round trips within a region.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Homes of other processes whose ids are kept at most.
-const MOST_HOMES: usize = 64;
+/// Maximum number of other homes whose records are kept here.
+const MAX_ADOPTED_HOMES: usize = 64;
 
-/// How far the end of a home has come.
+/// Progress of the shutdown of a home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Leaving {
-    /// Nothing new is sent; requests under way may finish until then.
+    /// Nothing new is sent; requests in flight may finish until this time.
     Draining(Time),
     /// All ids are given up.
-    // INVARIANT: Never left again: nothing is sent and no id is issued.
+    // INVARIANT: Followed by `Left` only: nothing is sent and no id is issued any more.
     GivenUp {
-        /// The parcels that nobody is known to have taken over.
-        open: BTreeSet<u64>,
-        /// When the wait for them ends.
+        /// Numbers of the batches that are not acknowledged yet.
+        unacknowledged: BTreeSet<u64>,
+        /// When the wait for the acknowledgements ends.
         until: Time,
     },
     /// The process may end.
@@ -51,23 +52,27 @@
 where
     R: Rng,
 {
+    /// Starts the shutdown; requests in flight may take up to `within`.
     pub(crate) fn leave(&mut self, now: Time, within: Duration) -> Vec<Effect> {
         if self.leaving.is_some() {
             return Vec::new();
         }
-        let by = now + within;
-        self.leaving = Some(Leaving::Draining(by));
-        self.due.insert((by, Due::Leave));
-        self.leave_on(now)
+        let deadline = now + within;
+        self.leaving = Some(Leaving::Draining(deadline));
+        self.timers.insert((deadline, Timer::Leave));
+        self.continue_leaving(now)
     }
 
-    /// Goes on with the end as far as possible.
-    pub(crate) fn leave_on(&mut self, now: Time) -> Vec<Effect> {
+    /// Moves the shutdown to its next stage if that is due.
+    pub(crate) fn continue_leaving(&mut self, now: Time) -> Vec<Effect> {
         match &self.leaving {
-            Some(Leaving::Draining(by)) if self.flights.is_empty() || *by <= now => {
+            Some(Leaving::Draining(deadline)) if self.in_flight.is_empty() || *deadline <= now => {
                 self.give_up(now)
             }
-            Some(Leaving::GivenUp { open, until }) if open.is_empty() || *until <= now => {
+            Some(Leaving::GivenUp {
+                unacknowledged,
+                until,
+            }) if unacknowledged.is_empty() || *until <= now => {
                 self.leaving = Some(Leaving::Left);
                 vec![Effect::Left]
             }
@@ -75,102 +80,109 @@
         }
     }
 
+    /// Ends what is still in flight as "unknown" and hands over the records of all ids.
     fn give_up(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let mut flying: Vec<Key> = self.flights.keys().cloned().collect();
-        flying.sort_unstable();
-        for key in flying {
-            effects.extend(self.lose(&key));
+        let mut keys: Vec<Key> = self.in_flight.keys().cloned().collect();
+        keys.sort_unstable();
+        for key in keys {
+            effects.extend(self.mark_unknown(&key));
         }
-        let mut parcels = Vec::new();
+        let mut batches = Vec::new();
         let mut adopted: Vec<_> = self.adopted.drain().collect();
         adopted.sort_by(|(a, _), (b, _)| a.cmp(b));
-        for ((host, incarnation), mut home) in adopted {
-            parcels.extend(split(host, incarnation, home.give_up(now)));
+        for ((host, incarnation), mut ids) in adopted {
+            batches.extend(split_into_batches(host, incarnation, ids.take_records(now)));
         }
-        let own = self.home.give_up(now);
-        parcels.extend(split(self.host.clone(), self.incarnation, own));
-        let mut open = BTreeSet::new();
-        for mut parcel in parcels {
-            let Some(to) = away::successor(&self.view, &parcel.host, &self.host).cloned() else {
+        let own_records = self.own_ids.take_records(now);
+        batches.extend(split_into_batches(
+            self.host.clone(),
+            self.incarnation,
+            own_records,
+        ));
+        let mut unacknowledged = BTreeSet::new();
+        for mut batch in batches {
+            let Some(to) = forward::successor(&self.view, &batch.host, &self.host).cloned() else {
                 continue;
             };
-            self.next_parcel += 1;
-            parcel.number = self.next_parcel;
-            open.insert(parcel.number);
-            effects.push(Effect::Handover { to, parcel });
+            self.next_batch += 1;
+            batch.number = self.next_batch;
+            unacknowledged.insert(batch.number);
+            effects.push(Effect::Handover { to, parcel: batch });
         }
-        let until = now + PATIENCE;
-        self.leaving = Some(Leaving::GivenUp { open, until });
-        self.due.insert((until, Due::Leave));
-        effects.extend(self.leave_on(now));
+        let until = now + HANDOVER_TIMEOUT;
+        self.leaving = Some(Leaving::GivenUp {
+            unacknowledged,
+            until,
+        });
+        self.timers.insert((until, Timer::Leave));
+        effects.extend(self.continue_leaving(now));
         effects
     }
 
-    /// Takes note that a parcel has arrived, or can't.
-    pub(crate) fn closed(&mut self, now: Time, number: u64) -> Vec<Effect> {
-        if let Some(Leaving::GivenUp { open, .. }) = &mut self.leaving {
-            open.remove(&number);
+    /// Handles a batch that was acknowledged or returned undelivered.
+    pub(crate) fn batch_closed(&mut self, now: Time, number: u64) -> Vec<Effect> {
+        if let Some(Leaving::GivenUp { unacknowledged, .. }) = &mut self.leaving {
+            unacknowledged.remove(&number);
         }
-        self.leave_on(now)
+        self.continue_leaving(now)
     }
 
-    /// Takes over ids that another process has given up.
-    pub(crate) fn adopt(
-        &mut self,
-        now: Time,
-        from: id::Host,
-        parcel: HandoverBatch,
-    ) -> Vec<Effect> {
-        let at = (parcel.host.clone(), parcel.incarnation);
-        let full = !self.adopted.contains_key(&at) && self.adopted.len() >= MOST_HOMES;
-        if self.leaving.is_some() || full || self.home.is(&parcel.host, parcel.incarnation) {
-            // The sender goes without an answer after a while; at worst its ids are "unknown".
+    /// Takes over the records of ids that another process has given up.
+    pub(crate) fn adopt(&mut self, now: Time, from: id::Host, batch: HandoverBatch) -> Vec<Effect> {
+        let at = (batch.host.clone(), batch.incarnation);
+        let full = !self.adopted.contains_key(&at) && self.adopted.len() >= MAX_ADOPTED_HOMES;
+        if self.leaving.is_some() || full || self.own_ids.belongs_to(&batch.host, batch.incarnation)
+        {
+            // Without an acknowledgement the sender ends after its timeout. The outcomes of its ids
+            // are then reported as "unknown" at worst.
             return Vec::new();
         }
         let options = &self.options;
-        let home = self
+        let ids = self
             .adopted
             .entry(at)
-            .or_insert_with(|| Home::adopted(parcel.host, parcel.incarnation, options));
-        for carried in parcel.records {
-            home.adopt(now, carried);
+            .or_insert_with(|| IdTable::adopted(batch.host, batch.incarnation, options));
+        for record in batch.records {
+            ids.take_over(now, record);
         }
         vec![Effect::Taken {
             to: from,
-            number: parcel.number,
+            number: batch.number,
         }]
     }
 }
 
-/// Makes parcels that fit into frames.
-fn split(
+/// Splits records into batches that fit into frames.
+fn split_into_batches(
     host: id::Host,
     incarnation: id::Incarnation,
     records: Vec<HandoverRecord>,
 ) -> Vec<HandoverBatch> {
-    let mut parcels: Vec<HandoverBatch> = Vec::new();
+    let mut batches: Vec<HandoverBatch> = Vec::new();
     let mut bytes = 0;
-    for carried in records {
-        let reply = match &carried.state {
+    for record in records {
+        let reply = match &record.state {
             State::Done(_, Some(reply)) => reply.len(),
             _ => 0,
         };
         bytes += reply;
-        match parcels.last_mut() {
-            Some(parcel) if parcel.records.len() < MOST_RECORDS && bytes <= MOST_BYTES => {
-                parcel.records.push(carried);
+        match batches.last_mut() {
+            Some(batch)
+                if batch.records.len() < MAX_BATCH_RECORDS && bytes <= MAX_BATCH_REPLY_BYTES =>
+            {
+                batch.records.push(record);
             }
             _ => {
                 bytes = reply;
-                parcels.push(HandoverBatch {
+                batches.push(HandoverBatch {
                     number: 0,
                     host: host.clone(),
                     incarnation,
-                    records: vec![carried],
+                    records: vec![record],
                 });
             }
         }
     }
-    parcels
+    batches
 }
--- a/crates/lentillift-once/src/quota.rs
+++ b/crates/lentillift-once/src/quota.rs
@@ -1,21 +1,22 @@
-//! Room that is shared by callers.
+//! A fixed capacity that callers share by weight.
 //!
-//! Pattern: one caller asks for ids, or sends requests, without end. Without this module it fills
-//! the table and every other caller is refused. Half of the room is common; of the other half each
-//! configured caller has its share to itself, by weight. A caller above its share is admitted only
-//! while less than half of the whole is used, so the shares can always be honoured: at most half is
-//! used by callers above their share, and the shares add up to the other half.
+//! Guards against one caller that requests ids, or sends requests, without limit: without a quota
+//! it fills the table and every other caller is refused. Half of the capacity is common; the other
+//! half is reserved for the configured callers in proportion to their weights. A caller above its
+//! share is admitted only while less than half of the whole capacity is used. The reserved shares
+//! can therefore always be honoured: callers above their share use at most one half, and the shares
+//! add up to the other half.
 
 use lentillift_core::id;
 use std::collections::HashMap;
 
-/// How much of the room each caller uses.
+/// Tracks how much of a fixed capacity each caller uses, in places.
 #[derive(Debug)]
 pub struct Quota {
-    room: usize,
-    // INVARIANT: The sum of `held`, and at most `room`.
+    capacity: usize,
+    // INVARIANT: The sum of `by_caller`, and at most `capacity`.
     used: usize,
-    held: HashMap<id::Caller, usize>,
+    by_caller: HashMap<id::Caller, usize>,
 }
 
 /// A caller's weight among all callers.
@@ -23,48 +24,53 @@
 pub struct Share {
     /// The caller's weight.
     pub weight: u64,
-    /// The weights of all configured callers.
+    /// The sum of the weights of all configured callers.
     pub total: u64,
 }
 
 impl Quota {
-    /// Starts with nothing used.
-    pub fn new(room: usize) -> Self {
+    /// Creates a quota of `capacity` places, none of them used.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            room,
+            capacity,
             used: 0,
-            held: HashMap::new(),
+            by_caller: HashMap::new(),
         }
     }
 
-    /// Takes a place for `caller`, if there is one for it.
+    /// Takes a place for `caller`, whose weight is `share`.
+    ///
+    /// Returns false, and takes none, when the quota is full, or when half of it is used and the
+    /// caller has its whole reserved share.
     #[must_use]
-    pub fn take(&mut self, caller: &id::Caller, share: Share) -> bool {
-        let held = self.held.get(caller).copied().unwrap_or_default();
-        let own = (self.room / 2) as u64 * share.weight / share.total.max(1);
-        let common = self.used < self.room / 2;
-        if self.used >= self.room || (!common && held as u64 >= own) {
+    pub fn try_acquire(&mut self, caller: &id::Caller, share: Share) -> bool {
+        let used_by_caller = self.by_caller.get(caller).copied().unwrap_or_default();
+        let reserved = (self.capacity / 2) as u64 * share.weight / share.total.max(1);
+        let common_free = self.used < self.capacity / 2;
+        if self.used >= self.capacity || (!common_free && used_by_caller as u64 >= reserved) {
             return false;
         }
-        self.force(caller);
+        self.acquire_unchecked(caller);
         true
     }
 
-    /// Takes a place that can't be denied, such as for a record that another process handed over.
-    pub fn force(&mut self, caller: &id::Caller) {
+    /// Takes a place without checking the limits.
+    ///
+    /// For records that can't be refused, such as those that another process handed over.
+    pub fn acquire_unchecked(&mut self, caller: &id::Caller) {
         self.used += 1;
-        *self.held.entry(caller.clone()).or_default() += 1;
+        *self.by_caller.entry(caller.clone()).or_default() += 1;
     }
 
-    /// Gives a place of `caller` back.
-    pub fn give(&mut self, caller: &id::Caller) {
-        let Some(held) = self.held.get_mut(caller) else {
+    /// Returns a place of `caller`; does nothing if it has none.
+    pub fn release(&mut self, caller: &id::Caller) {
+        let Some(used_by_caller) = self.by_caller.get_mut(caller) else {
             return;
         };
-        *held -= 1;
+        *used_by_caller -= 1;
         self.used -= 1;
-        if *held == 0 {
-            self.held.remove(caller);
+        if *used_by_caller == 0 {
+            self.by_caller.remove(caller);
         }
     }
 }
--- a/crates/lentillift-once/tests/bounds.rs
+++ b/crates/lentillift-once/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Floods of ids, ids that are made up, and ids out of their time.
+//! Limits on ids and replies, and requests under forged, expired or malformed ids.
 
 use lentillift_core::id;
 use lentillift_core::outcome::Outcome;
@@ -24,9 +24,9 @@
 
 const OPTIONS: home::Options = home::Options {
     lifetime: Duration::from_secs(600),
-    unused: Duration::from_secs(60),
-    most: 1000,
-    replies: 10_000,
+    unused_lifetime: Duration::from_secs(60),
+    max_ids: 1000,
+    max_reply_bytes: 10_000,
 };
 
 fn view() -> Arc<View> {
@@ -49,12 +49,12 @@
     Arc::new(View::new(values, vec!["host-0".into()]))
 }
 
-struct Desk {
+struct Fixture {
     once: Once<StdRng>,
     now: Time,
 }
 
-impl Desk {
+impl Fixture {
     fn new() -> Self {
         let rng = StdRng::seed_from_u64(1);
         let mut once = Once::new("host-0".into(), 7, &OPTIONS, rng);
@@ -91,19 +91,19 @@
             .handle(self.now, Event::Call { request: 1, submit })
     }
 
-    /// What a caller is told at once of an id.
-    fn told(&mut self, key: &Key) -> ActionResponse {
-        self.told_of(key, "file", Duration::from_millis(100))
+    /// The immediate response to a request under `key`.
+    fn respond(&mut self, key: &Key) -> ActionResponse {
+        self.respond_for(key, "file", Duration::from_millis(100))
     }
 
-    fn told_of(&mut self, key: &Key, service: &str, allowance: Duration) -> ActionResponse {
+    fn respond_for(&mut self, key: &Key, service: &str, allowance: Duration) -> ActionResponse {
         match self.send(key, service, allowance).pop() {
             Some(Effect::Settle { settled, .. }) => settled,
             other => panic!("an answer at once: {other:?}"),
         }
     }
 
-    /// Sends a request and has a backend server answer it.
+    /// Sends a request and delivers `reply` as the result of its sub-request.
     fn run(&mut self, key: &Key, reply: Vec<u8>) {
         let effects = self.send(key, "file", Duration::from_millis(100));
         let Some(Effect::Send { sub, .. }) = effects.first() else {
@@ -114,142 +114,156 @@
     }
 }
 
-/// A client asks for ids in a loop. Without a share of their own the other callers could file
-/// nothing until its ids have run out.
+/// A client requests ids in a loop. Without a reserved share the other callers would get none until
+/// that client's ids expire.
 #[test]
-fn a_hot_caller_leaves_the_others_their_share() {
-    let mut desk = Desk::new();
-    let taken = (0..5000).take_while(|_| desk.issue("hot").is_ok()).count();
-    assert_eq!(taken, OPTIONS.most / 2);
-    assert_eq!(desk.issue("hot"), Err(Cause::Overload));
+fn caller_that_floods_ids_leaves_others_their_share() {
+    let mut fixture = Fixture::new();
     let taken = (0..5000)
-        .take_while(|_| desk.issue("quiet").is_ok())
+        .take_while(|_| fixture.issue("hot").is_ok())
         .count();
-    assert_eq!(taken, OPTIONS.most / 4);
-    assert!(desk.once.ids_held() <= OPTIONS.most);
-    // What was not used makes room again.
-    desk.now += OPTIONS.unused;
-    assert!(desk.issue("hot").is_ok());
-    assert_eq!(desk.once.ids_held(), 1);
+    assert_eq!(taken, OPTIONS.max_ids / 2);
+    assert_eq!(fixture.issue("hot"), Err(Cause::Overload));
+    let taken = (0..5000)
+        .take_while(|_| fixture.issue("quiet").is_ok())
+        .count();
+    assert_eq!(taken, OPTIONS.max_ids / 4);
+    assert!(fixture.once.ids_held() <= OPTIONS.max_ids);
+    // Unused ids expire and free their places.
+    fixture.now += OPTIONS.unused_lifetime;
+    assert!(fixture.issue("hot").is_ok());
+    assert_eq!(fixture.once.ids_held(), 1);
 }
 
-/// Replies are large and many. They must not fill the memory; that each request ran is still known.
+/// Many large replies must not exhaust memory; a request whose reply was dropped is still reported
+/// as done.
 #[test]
-fn old_replies_make_room_and_stay_done() {
-    let mut desk = Desk::new();
-    let keys: Vec<Key> = (0..30).map(|_| desk.issue("hot").expect("an id")).collect();
+fn oldest_replies_are_dropped_but_stay_done() {
+    let mut fixture = Fixture::new();
+    let keys: Vec<Key> = (0..30)
+        .map(|_| fixture.issue("hot").expect("an id"))
+        .collect();
     for key in &keys {
-        desk.run(key, vec![b'x'; 1000]);
+        fixture.run(key, vec![b'x'; 1000]);
     }
-    let told: Vec<ActionResponse> = keys.iter().map(|key| desk.told(key)).collect();
-    assert!(told.iter().all(|settled| settled.outcome == Outcome::Done));
-    let kept = told.iter().filter(|settled| settled.body.len() == 1000);
+    let responses: Vec<ActionResponse> = keys.iter().map(|key| fixture.respond(key)).collect();
+    assert!(
+        responses
+            .iter()
+            .all(|response| response.outcome == Outcome::Done)
+    );
+    let kept = responses
+        .iter()
+        .filter(|response| response.body.len() == 1000);
     assert_eq!(kept.count(), 10);
 }
 
-macro_rules! case {
+macro_rules! id_case {
     ($name:ident, $about:literal, $change:expr, $outcome:ident, $cause:expr) => {
         #[doc = $about]
         #[test]
         fn $name() {
-            let mut desk = Desk::new();
-            let mut key = desk.issue("hot").expect("an id");
-            let change: fn(&mut Desk, &mut Key) = $change;
-            change(&mut desk, &mut key);
-            let told = desk.told(&key);
-            assert_eq!((told.outcome, told.cause), (Outcome::$outcome, $cause));
+            let mut fixture = Fixture::new();
+            let mut key = fixture.issue("hot").expect("an id");
+            let change: fn(&mut Fixture, &mut Key) = $change;
+            change(&mut fixture, &mut key);
+            let response = fixture.respond(&key);
+            assert_eq!(
+                (response.outcome, response.cause),
+                (Outcome::$outcome, $cause)
+            );
         }
     };
 }
 
-case!(
-    from_the_future,
-    "A client makes up an id whose time is yet to come; nothing can have run under it.",
+id_case!(
+    id_issued_in_the_future,
+    "A client forges an id with a time of issue in the future; nothing can have run under it.",
     |_, key| key.issued += 60_000,
     NotRun,
     Some(Cause::Closed)
 );
-case!(
-    with_another_secret,
-    "A stranger counts on from an id of its own to use up those of others.",
+id_case!(
+    id_with_wrong_secret,
+    "A client increments the number of its own id to use up the ids of others.",
     |_, key| key.secret ^= 1,
     NotRun,
     Some(Cause::Closed)
 );
-case!(
-    with_a_number_never_issued,
-    "A client makes up a number.",
+id_case!(
+    id_with_unissued_number,
+    "A client forges a number that was not issued yet.",
     |_, key| key.number += 1,
     NotRun,
     Some(Cause::Closed)
 );
-case!(
-    unused_for_too_long,
-    "A phone loses its network between the id and the request and comes back after some minutes.",
-    |desk, _| desk.now += OPTIONS.unused,
+id_case!(
+    id_unused_past_its_limit,
+    "A phone loses its network between the id and the request, and reconnects minutes later.",
+    |fixture, _| fixture.now += OPTIONS.unused_lifetime,
     NotRun,
     Some(Cause::Closed)
 );
-case!(
-    used_and_out_of_its_lifetime,
-    "A client keeps an id for hours; whether it ran is forgotten, and a guess could be wrong.",
-    |desk, key| {
-        desk.run(key, Vec::new());
-        desk.now += OPTIONS.lifetime;
+id_case!(
+    used_id_past_its_lifetime,
+    "A client keeps an id for hours. Its record is gone, so it is unknown whether it ran.",
+    |fixture, key| {
+        fixture.run(key, Vec::new());
+        fixture.now += OPTIONS.lifetime;
     },
     Unknown,
     None
 );
-case!(
-    of_an_incarnation_that_is_gone,
-    "The process was started anew and remembers nothing.",
+id_case!(
+    id_of_previous_incarnation,
+    "The process was restarted and has no record of the ids of its previous incarnation.",
     |_, key| key.incarnation -= 1,
     Unknown,
     None
 );
 
-macro_rules! refused {
+macro_rules! refusal_case {
     ($name:ident, $about:literal, $service:literal, $allowance:expr, $cause:ident) => {
         #[doc = $about]
         #[test]
         fn $name() {
-            let mut desk = Desk::new();
-            let key = desk.issue("hot").expect("an id");
-            let told = desk.told_of(&key, $service, $allowance);
+            let mut fixture = Fixture::new();
+            let key = fixture.issue("hot").expect("an id");
+            let response = fixture.respond_for(&key, $service, $allowance);
             assert_eq!(
-                (told.outcome, told.cause),
+                (response.outcome, response.cause),
                 (Outcome::NotRun, Some(Cause::$cause))
             );
-            // "Not run" is final, also for a copy of it that is right.
-            assert_eq!(desk.told(&key).cause, Some(Cause::Closed));
+            // "Not run" is final, also for a later copy of the request that is valid.
+            assert_eq!(fixture.respond(&key).cause, Some(Cause::Closed));
         }
     };
 }
 
-refused!(
-    to_a_search_service,
-    "A client files a notice with the service that searches them.",
+refusal_case!(
+    request_to_search_service,
+    "A client sends an action to a search service.",
     "names",
     Duration::from_millis(100),
     UnknownService
 );
-refused!(
-    to_no_service,
+refusal_case!(
+    request_to_unknown_service,
     "A client misspells the service.",
     "fiel",
     Duration::from_millis(100),
     UnknownService
 );
-refused!(
-    with_an_absurd_allowance,
-    "A client states hours; its request would hold its place for as long.",
+refusal_case!(
+    request_with_excessive_allowance,
+    "A client states an allowance of hours; its request would stay in flight for as long.",
     "file",
     Duration::from_secs(9999),
     Allowance
 );
-refused!(
-    without_time,
-    "A client states an allowance that is over before anything can be sent.",
+refusal_case!(
+    request_without_time_left,
+    "A client states an allowance that ends before anything can be sent.",
     "file",
     Duration::ZERO,
     Allowance
@@ -263,9 +277,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A caller sends any text as an id; it is told what is wrong with it, and nothing runs.
+    /// A caller sends arbitrary text as an id. Text that is not an id must be rejected with a
+    /// reason.
     #[test]
-    fn any_text_is_an_id_or_is_refused(text in "(host-0|[a-z.]{0,9})(\\.[0-9a-g]{0,17}){0,5}|\\PC{0,30}") {
+    fn arbitrary_text_is_an_id_or_is_rejected(text in "(host-0|[a-z.]{0,9})(\\.[0-9a-g]{0,17}){0,5}|\\PC{0,30}") {
         match text.parse::<Key>() {
             Ok(key) => prop_assert_eq!(key.to_string().parse(), Ok(key)),
             Err(detail) => prop_assert!(!detail.is_empty()),
--- a/crates/lentillift-once/tests/explore/main.rs
+++ b/crates/lentillift-once/tests/explore/main.rs
@@ -1,8 +1,9 @@
-//! Callers, homes, owners and a counting backend server under every mix of faults.
+//! Random exploration of callers, homes and owners under network and process faults.
 //!
-//! The cores are the real ones. The network between them delays, cuts and loses; processes pause,
-//! die and come back; each keeps a view of its own, which may be old. What a caller notices of a
-//! breach is a notice that was filed twice, or one that it was told had not been filed.
+//! The state machines are the real ones; a simulated backend server counts the runs of each id. The
+//! network delays, reorders and loses messages and breaks links; processes pause, crash and
+//! restart; each has its own, possibly stale, view of the fleet. A caller sees a violation as a
+//! notice that was filed twice, or as one that was filed after the answer "not run".
 
 mod views;
 mod world;
@@ -46,7 +47,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens, no id runs twice, and one that its caller was told had not run never runs.
+    /// Under any sequence of faults no id runs twice, and an id answered "not run" never runs.
     #[test]
     fn no_id_runs_twice_and_not_run_is_final(steps in steps()) {
         let mut world = World::start();
@@ -58,11 +59,11 @@
     }
 }
 
-/// A process dies and is started again at the same host while a backend server still works on a
-/// request of its. The late result comes to the new process, whose caller must not be told that
-/// its own notice was filed.
+/// A process is restarted on the same host while a backend server still runs one of its requests.
+/// The late result reaches the new process, which must not take it for the result of its own
+/// request.
 #[test]
-fn a_late_result_is_for_the_process_before() {
+fn late_result_for_previous_process_is_ignored() {
     let mut world = World::start();
     let file = |world: &mut World, id| {
         world.step(Step::Issue(0));
@@ -72,7 +73,7 @@
     file(&mut world, 0);
     world.kill(0);
     file(&mut world, 1);
-    assert_eq!(world.held.len(), 2);
+    assert_eq!(world.at_owners.len(), 2);
     world.step(Step::Run(0, Fate::Reply));
     assert_eq!(world.done, 0);
     world.step(Step::Run(0, Fate::Reply));
@@ -81,22 +82,22 @@
     world.check();
 }
 
-/// A host is replaced after a notice was filed by it. Its caller, who did not get the reply, asks
-/// another host with the same id and must learn that the notice was filed.
+/// A host leaves after a request ran. Its caller did not get the reply and retries at another host
+/// with the same id; it must get the outcome "done".
 #[test]
-fn a_home_that_leaves_hands_over_what_it_knows() {
+fn leaving_home_hands_over_its_records() {
     let mut world = World::start();
     world.step(Step::Issue(0));
     world.step(Step::Send(0, 0));
     world.step(Step::Deliver(0));
     world.step(Step::Run(0, Fate::Reply));
     world.step(Step::Leave(0));
-    while !world.mail.is_empty() {
+    while !world.messages.is_empty() {
         world.step(Step::Deliver(0));
     }
     world.kill(0);
     for host in 1..HOSTS {
-        // The view without the first host.
+        // View 1 is the one without host 0.
         world.step(Step::View(host, 1));
         world.step(Step::Send(host, 0));
     }
--- a/crates/lentillift-once/tests/explore/views.rs
+++ b/crates/lentillift-once/tests/explore/views.rs
@@ -1,4 +1,4 @@
-//! Views of the fleet that a process may hold, old ones among them.
+//! Views of the fleet that a process may have, including stale ones.
 
 use crate::world::HOSTS;
 use crate::world::name;
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 use std::sync::LazyLock;
 
-/// The views that were ever published; a process may hold any of them.
+/// All views that were published. View 0 has all hosts, view `n` lacks host `n - 1`, and the last
+/// one has no configuration. A process may have any of them.
 pub(crate) static VIEWS: LazyLock<Vec<Arc<View>>> =
     LazyLock::new(|| (0..HOSTS + 2).map(view).collect());
 
@@ -27,7 +28,7 @@
         "b0":{"address":"127.0.0.1:1","domain":"a","state":"live"},
         "b1":{"address":"127.0.0.1:1","domain":"a","state":"live"}}}"#;
     let values = Values {
-        // The last view is of a process that knows the hosts and nothing else.
+        // The last view has the hosts but no configuration yet.
         config: (which <= HOSTS).then(|| Arc::new(jsonc::parse("config", config).expect("config"))),
         roster: Some(Arc::new(jsonc::parse("hosts", &roster).expect("hosts"))),
         placements: [(
--- a/crates/lentillift-once/tests/explore/world.rs
+++ b/crates/lentillift-once/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! Processes, the network between them, owners and callers, under faults.
+//! Simulation of processes, the network between them, owners and callers.
 
 use crate::views;
 use lentillift_core::id;
@@ -21,48 +21,55 @@
 pub(crate) const HOSTS: usize = 3;
 const BODY: &[u8] = b"{}";
 
-/// What goes wrong, or is asked, next.
+/// A request of a caller, a delivery or a fault. Positions are taken modulo the length of their
+/// list.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
+    /// A caller requests an id at this host.
     Issue(usize),
-    /// A caller sends the id with that position, again or for the first time.
+    /// A caller sends a request to this host under the id at this position, for the first time or
+    /// again.
     Send(usize, usize),
-    /// The message with that position arrives, out of turn with those of other links.
+    /// The message at this position arrives, out of order.
     Deliver(usize),
-    /// The message with that position is lost, and with it the link it was on.
+    /// The message at this position is lost, and the link it was on ends.
     Lose(usize),
-    /// The message with that position never leaves its process.
+    /// The message at this position is returned to its sender as undelivered.
     Return(usize),
-    /// A backend server takes a request that an owner holds, with this fate.
+    /// The sub-request at this position in the list of owners ends with this fate.
     Run(usize, Fate),
+    /// Time passes, in milliseconds.
     Wait(u64),
+    /// A host is paused (true) or resumed.
     Pause(usize, bool),
+    /// A host's process crashes and is restarted.
     Kill(usize),
+    /// A host starts its shutdown.
     Leave(usize),
-    /// A host gets one of the views that were ever published.
+    /// A host gets the published view with this number.
     View(usize, usize),
 }
 
-/// What becomes of a request that an owner has sent.
+/// How a sub-request at an owner ends.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fate {
-    /// It ran and the reply came.
+    /// It ran and the reply arrived.
     Reply,
-    /// It ran and the reply was lost, or the connection broke during or after the write.
+    /// It ran, but the reply was lost or the connection broke during or after the write.
     Lost,
-    /// The connection broke in the middle of the write, and it did not run.
+    /// The connection broke during the write, and it did not run.
     Cut,
-    /// The server shed it, or the connection could not be opened, or its time ran out in a queue.
+    /// It was shed, its connection could not be opened, or its deadline passed in a queue.
     Refused,
-    /// The owner died with it before it was sent.
+    /// The owner crashed before sending it.
     Dropped,
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Mail {
+pub(crate) struct Message {
     from: usize,
     to: usize,
-    /// Incarnation of the sender, for what returns to it.
+    /// Incarnation of the sender, which is the only one that undelivered messages return to.
     sender: u64,
     effect: Effect,
 }
@@ -71,7 +78,7 @@
     once: Once<StdRng>,
     incarnation: u64,
     paused: bool,
-    /// The process's clock starts with it.
+    /// Time of its start, at which the process's own clock is zero.
     epoch: Time,
 }
 
@@ -84,15 +91,15 @@
 pub(crate) struct World {
     now: Time,
     processes: Vec<Process>,
-    pub(crate) mail: Vec<Mail>,
-    /// What owners hold: the owner, the host that sent it, the sub-request.
-    pub(crate) held: Vec<(usize, usize, sub::Sub)>,
+    pub(crate) messages: Vec<Message>,
+    /// Sub-requests at owners: the owner, the host that sent it, the sub-request.
+    pub(crate) at_owners: Vec<(usize, usize, sub::Sub)>,
     ids: Vec<Id>,
-    /// Which id each call of a caller was about.
+    /// Position of the id of each call that has no response yet, by host and number.
     calls: HashMap<(usize, u64), usize>,
     next_call: u64,
     ran: BTreeMap<String, u32>,
-    /// Ids of which a caller was told for good that they did not run.
+    /// Ids that a caller got the answer "not run" for.
     not_run: BTreeMap<String, u32>,
     pub(crate) done: u32,
     starts: u64,
@@ -123,7 +130,7 @@
         let rng = StdRng::seed_from_u64(self.starts);
         let options = home::Options {
             lifetime: Duration::from_millis(3000),
-            unused: Duration::from_millis(1500),
+            unused_lifetime: Duration::from_millis(1500),
             ..home::Options::default()
         };
         let mut once = Once::new(name(host), self.starts, &options, rng);
@@ -136,16 +143,16 @@
         }
     }
 
-    fn tell(&mut self, host: usize, event: Event) {
+    fn handle(&mut self, host: usize, event: Event) {
         let process = &mut self.processes[host];
         let effects = process.once.handle(self.now - process.epoch, event);
         let sender = process.incarnation;
         for effect in effects {
-            self.take(host, sender, effect);
+            self.queue_effect(host, sender, effect);
         }
     }
 
-    fn take(&mut self, from: usize, sender: u64, effect: Effect) {
+    fn queue_effect(&mut self, from: usize, sender: u64, effect: Effect) {
         let to = match &effect {
             Effect::Issued { key, .. } => {
                 if let Ok(key) = key.clone() {
@@ -161,7 +168,7 @@
                     .calls
                     .remove(&(from, *request))
                     .expect("each call has one answer");
-                self.settled(id, settled.outcome);
+                self.check_outcome(id, settled.outcome);
                 return;
             }
             Effect::Left => return,
@@ -172,7 +179,7 @@
             | Effect::Handover { to, .. }
             | Effect::Taken { to, .. } => number(to),
         };
-        self.mail.push(Mail {
+        self.messages.push(Message {
             from,
             to,
             sender,
@@ -180,7 +187,8 @@
         });
     }
 
-    fn settled(&mut self, id: usize, outcome: Outcome) {
+    /// Checks and counts the outcome that a caller received for an id.
+    fn check_outcome(&mut self, id: usize, outcome: Outcome) {
         let key = self.ids[id].key.clone();
         match outcome {
             Outcome::Done => {
@@ -192,9 +200,9 @@
         }
     }
 
-    fn deliver(&mut self, mail: Mail) {
-        let from = name(mail.from);
-        let event = match mail.effect {
+    fn deliver(&mut self, message: Message) {
+        let from = name(message.from);
+        let event = match message.effect {
             Effect::Forward {
                 request, submit, ..
             } => Event::Submit {
@@ -213,21 +221,21 @@
             Effect::Handover { parcel, .. } => Event::Handover { from, parcel },
             Effect::Taken { number, .. } => Event::Taken { number },
             Effect::Send { sub, .. } => {
-                self.held.push((mail.to, mail.from, sub));
+                self.at_owners.push((message.to, message.from, sub));
                 return;
             }
             _ => return,
         };
-        // An answer to a process that has died is for no one; its successor has other numbers.
-        self.tell(mail.to, event);
+        // A response may reach the restarted process of its receiver, which uses other numbers.
+        self.handle(message.to, event);
     }
 
-    /// The message certainly never left; its sender learns it if it still lives.
-    fn give_back(&mut self, mail: Mail) {
-        if self.processes[mail.from].incarnation != mail.sender {
+    /// Returns an undelivered message to its sender, if that has not been restarted.
+    fn return_undelivered(&mut self, message: Message) {
+        if self.processes[message.from].incarnation != message.sender {
             return;
         }
-        let event = match mail.effect {
+        let event = match message.effect {
             Effect::Forward { request, .. } => Event::Undelivered { request },
             Effect::Handover { parcel, .. } => Event::Returned(parcel),
             Effect::Send { sub, .. } => Event::Result {
@@ -236,7 +244,7 @@
             },
             _ => return,
         };
-        self.tell(mail.from, event);
+        self.handle(message.from, event);
     }
 
     fn run(&mut self, (owner, from, sub): (usize, usize, sub::Sub), fate: Fate) {
@@ -250,23 +258,24 @@
             Fate::Lost | Fate::Cut => sub::Result::unknown(Failure::Connection),
             Fate::Refused => sub::Result::not_run(Failure::Shed),
             Fate::Dropped => {
-                self.tell(from, Event::Down { host: name(owner) });
+                self.handle(from, Event::Down { host: name(owner) });
                 return;
             }
         };
-        // It also reaches a process that was started at the same host meanwhile.
+        // The result also reaches a process that was restarted on the same host meanwhile.
         let id = sub.id;
-        self.tell(from, Event::Result { id, result });
+        self.handle(from, Event::Result { id, result });
     }
 
     pub(crate) fn kill(&mut self, host: usize) {
-        // Its callers are cut off; what it held as an owner may or may not have been sent.
+        // Its callers lose their connections. Sub-requests that it held as an owner stay in the
+        // list: they may or may not have been sent.
         self.calls.retain(|(at, _), _| *at != host);
-        self.mail.retain(|mail| mail.to != host);
+        self.messages.retain(|message| message.to != host);
         let process = self.process(host);
         self.processes[host] = process;
         for other in (0..HOSTS).filter(|other| *other != host) {
-            self.tell(other, Event::Down { host: name(host) });
+            self.handle(other, Event::Down { host: name(host) });
         }
     }
 
@@ -279,7 +288,7 @@
                     service,
                     caller,
                 };
-                self.tell(host, event);
+                self.handle(host, event);
             }
             Step::Send(host, id) if !self.ids.is_empty() => {
                 let id = id % self.ids.len();
@@ -293,38 +302,38 @@
                     allowance: Duration::from_millis(200),
                     body: BODY.into(),
                 };
-                self.tell(host, Event::Call { request, submit });
+                self.handle(host, Event::Call { request, submit });
             }
-            Step::Deliver(at) if !self.mail.is_empty() => {
-                let at = at % self.mail.len();
-                // A paused process takes nothing in.
-                if !self.processes[self.mail[at].to].paused {
-                    let mail = self.mail.remove(at);
-                    self.deliver(mail);
+            Step::Deliver(at) if !self.messages.is_empty() => {
+                let at = at % self.messages.len();
+                // A paused process receives nothing.
+                if !self.processes[self.messages[at].to].paused {
+                    let message = self.messages.remove(at);
+                    self.deliver(message);
                 }
             }
-            Step::Lose(at) if !self.mail.is_empty() => {
-                let mail = self.mail.remove(at % self.mail.len());
-                self.tell(
-                    mail.from,
+            Step::Lose(at) if !self.messages.is_empty() => {
+                let message = self.messages.remove(at % self.messages.len());
+                self.handle(
+                    message.from,
                     Event::Down {
-                        host: name(mail.to),
+                        host: name(message.to),
                     },
                 );
             }
-            Step::Return(at) if !self.mail.is_empty() => {
-                let mail = self.mail.remove(at % self.mail.len());
-                self.give_back(mail);
+            Step::Return(at) if !self.messages.is_empty() => {
+                let message = self.messages.remove(at % self.messages.len());
+                self.return_undelivered(message);
             }
-            Step::Run(at, fate) if !self.held.is_empty() => {
-                let held = self.held.remove(at % self.held.len());
-                self.run(held, fate);
+            Step::Run(at, fate) if !self.at_owners.is_empty() => {
+                let pending = self.at_owners.remove(at % self.at_owners.len());
+                self.run(pending, fate);
             }
             Step::Wait(ms) => {
                 self.now += Duration::from_millis(ms);
                 for host in 0..HOSTS {
                     if !self.processes[host].paused {
-                        self.tell(host, Event::Tick);
+                        self.handle(host, Event::Tick);
                     }
                 }
             }
@@ -332,29 +341,31 @@
             Step::Kill(host) => self.kill(host),
             Step::Leave(host) => {
                 let within = Duration::from_millis(100);
-                self.tell(host, Event::Leave { within });
+                self.handle(host, Event::Leave { within });
             }
-            Step::View(host, which) => self.tell(host, Event::View(views::VIEWS[which].clone())),
+            Step::View(host, which) => self.handle(host, Event::View(views::VIEWS[which].clone())),
             _ => {}
         }
     }
 
-    /// Lets everything that is still on its way arrive, and all of it run if it may.
+    /// Resumes all processes, delivers all messages, runs all sub-requests, and lets timers run
+    /// out.
     pub(crate) fn finish(&mut self) {
         for host in 0..HOSTS {
             self.processes[host].paused = false;
         }
         for _ in 0..200 {
-            while let Some(mail) = self.mail.pop() {
-                self.deliver(mail);
+            while let Some(message) = self.messages.pop() {
+                self.deliver(message);
             }
-            while let Some(held) = self.held.pop() {
-                self.run(held, Fate::Reply);
+            while let Some(pending) = self.at_owners.pop() {
+                self.run(pending, Fate::Reply);
             }
         }
         self.step(Step::Wait(2000));
     }
 
+    /// Checks that no id ran twice or after "not run", and that every call got a response.
     pub(crate) fn check(&self) {
         for (key, runs) in &self.ran {
             assert_eq!(*runs, 1, "{key} ran {runs} times");
