--- a/crates/lentillift-once/src/core.rs
+++ b/crates/lentillift-once/src/core.rs
@@ -262,19 +262,19 @@
         &mut self,
         now: Time,
         request: id::Request,
-        submit: ActionRequest,
+        action: ActionRequest,
     ) -> Vec<Effect> {
         let deadline = now
-            + submit
+            + action
                 .allowance
                 .min(self.max_wait())
                 .saturating_sub(RETURN_MARGIN);
         let waiter = Waiter::Caller(request);
-        match submit.key.parse::<Key>() {
+        match action.key.parse::<Key>() {
             Ok(key) if self.try_id_table(&key).is_some() => {
-                self.serve(now, &key, submit, waiter, deadline)
+                self.serve(now, &key, action, waiter, deadline)
             }
-            Ok(key) => self.forward_to_home(now, request, &key, submit, deadline),
+            Ok(key) => self.forward_to_home(now, request, &key, action, deadline),
             // No home issues a malformed id, so nothing can have run under it.
             Err(e) => {
                 let detail = format!("idempotency-key: {e}");
@@ -300,12 +300,12 @@
         now: Time,
         from: id::Host,
         request: id::Request,
-        submit: ActionRequest,
+        action: ActionRequest,
     ) -> Vec<Effect> {
-        let deadline = now + submit.allowance.saturating_sub(RETURN_MARGIN);
-        match submit.key.parse::<Key>() {
+        let deadline = now + action.allowance.saturating_sub(RETURN_MARGIN);
+        match action.key.parse::<Key>() {
             Ok(key) if self.try_id_table(&key).is_some() => {
-                self.serve(now, &key, submit, Waiter::Entry(from, request), deadline)
+                self.serve(now, &key, action, Waiter::Entry(from, request), deadline)
             }
             _ => vec![Effect::NotHome { to: from, request }],
         }
@@ -316,13 +316,13 @@
         &mut self,
         now: Time,
         key: &Key,
-        submit: ActionRequest,
+        action: ActionRequest,
         waiter: Waiter,
         deadline: Time,
     ) -> Vec<Effect> {
-        let digest = record::digest(&submit.service, &submit.body);
-        let response = match self.id_table(key).lookup(now, key, &submit.caller, digest) {
-            Lookup::Send => return self.send_new(now, key, submit, waiter, deadline),
+        let digest = record::digest(&action.service, &action.body);
+        let response = match self.id_table(key).lookup(now, key, &action.caller, digest) {
+            Lookup::Send => return self.send_new(now, key, action, waiter, deadline),
             Lookup::Wait => return self.add_waiter(key, waiter, deadline),
             Lookup::Done(reply) => ActionResponse::done(reply),
             Lookup::Unknown => ActionResponse::unknown("its reply was lost"),
--- a/crates/lentillift-once/src/event.rs
+++ b/crates/lentillift-once/src/event.rs
@@ -148,7 +148,7 @@
     },
     /// Send a sub-request to an owner.
     Send {
-        /// The owner.
+        /// Host of the owner.
         to: id::Host,
         /// The sub-request.
         sub: Sub,
--- a/crates/lentillift-once/src/forward.rs
+++ b/crates/lentillift-once/src/forward.rs
@@ -23,7 +23,7 @@
 /// A forwarded request that awaits a response.
 #[derive(Debug)]
 pub(crate) struct Forwarded {
-    submit: ActionRequest,
+    action: ActionRequest,
     home: id::Host,
     /// The host that it was sent to last: the home, or the one that may have taken over from it.
     to: id::Host,
@@ -50,7 +50,7 @@
         now: Time,
         request: id::Request,
         key: &Key,
-        submit: ActionRequest,
+        action: ActionRequest,
         deadline: Time,
     ) -> Vec<Effect> {
         if self.forwarded.len() >= MAX_FORWARDED {
@@ -74,7 +74,7 @@
             }];
         };
         let forwarded = Forwarded {
-            submit,
+            action,
             home: key.host.clone(),
             to,
             deadline,
@@ -160,14 +160,14 @@
 
 /// The effect that sends a request to `forwarded.to`, with the time that is left as its allowance.
 fn forward_effect(now: Time, request: id::Request, forwarded: &Forwarded) -> Effect {
-    let submit = ActionRequest {
+    let action = ActionRequest {
         allowance: forwarded.deadline.saturating_sub(now),
-        ..forwarded.submit.clone()
+        ..forwarded.action.clone()
     };
     Effect::Forward {
         to: forwarded.to.clone(),
         request,
-        submit,
+        submit: action,
     }
 }
 
--- a/crates/lentillift-once/src/in_flight.rs
+++ b/crates/lentillift-once/src/in_flight.rs
@@ -61,7 +61,7 @@
 /// A request that was sent to an owner and whose result is outstanding.
 #[derive(Debug)]
 pub(crate) struct InFlight {
-    pub(crate) submit: ActionRequest,
+    pub(crate) action: ActionRequest,
     pub(crate) owner: id::Host,
     /// Backend servers that it was sent to, the current one last.
     tried: Vec<id::Backend>,
@@ -78,28 +78,28 @@
         &mut self,
         now: Time,
         key: &Key,
-        submit: ActionRequest,
+        action: ActionRequest,
         waiter: Waiter,
         deadline: Time,
     ) -> Vec<Effect> {
-        if let Err(response) = self.check_sendable(now, &submit, deadline) {
+        if let Err(response) = self.check_sendable(now, &action, deadline) {
             self.id_table(key).close(key.number);
             return vec![waiter.answer(response)];
         }
-        let Some((backend, owner)) = self.choose_backend(&submit.service, &[]) else {
+        let Some((backend, owner)) = self.choose_backend(&action.service, &[]) else {
             self.id_table(key).close(key.number);
             return vec![waiter.answer(no_backend_accepted())];
         };
-        let share = self.share(&submit.caller);
-        if !share.is_some_and(|share| self.in_flight_quota.try_acquire(&submit.caller, share)) {
+        let share = self.share(&action.caller);
+        if !share.is_some_and(|share| self.in_flight_quota.try_acquire(&action.caller, share)) {
             self.id_table(key).close(key.number);
             let full = ActionResponse::not_run(Cause::Overload, "too many requests are under way");
             return vec![waiter.answer(full.retry_after(RETRY_AFTER))];
         }
-        let digest = crate::record::digest(&submit.service, &submit.body);
+        let digest = crate::record::digest(&action.service, &action.body);
         self.id_table(key).mark_sent(key.number, digest);
         let request = InFlight {
-            submit,
+            action,
             owner: owner.clone(),
             tried: vec![backend.clone()],
             waiters: vec![(waiter, deadline)],
@@ -125,7 +125,7 @@
     fn check_sendable(
         &self,
         now: Time,
-        submit: &ActionRequest,
+        action: &ActionRequest,
         deadline: Time,
     ) -> Result<(), ActionResponse> {
         if self.leaving.is_some() {
@@ -133,7 +133,7 @@
                 ActionResponse::not_run(Cause::Leaving, "the id's home is ending; take a new id");
             return Err(leaving.retry_after(RETRY_AFTER));
         }
-        self.check(now, &submit.service, &submit.caller)
+        self.check(now, &action.service, &action.caller)
             .map_err(|refusal| {
                 let response = ActionResponse::not_run(refusal.cause, &refusal.detail);
                 match refusal.retry_after {
@@ -143,8 +143,8 @@
             })?;
         let config = self.view.values.config.as_ref();
         let max_ms = config.map_or(0, |config| config.most_allowance_ms);
-        if submit.allowance > Duration::from_millis(max_ms) || deadline <= now {
-            let found_ms = submit.allowance.as_millis();
+        if action.allowance > Duration::from_millis(max_ms) || deadline <= now {
+            let found_ms = action.allowance.as_millis();
             let detail = format!("allowance: found {found_ms} ms, up to {max_ms} ms is right");
             return Err(ActionResponse::not_run(Cause::Allowance, &detail));
         }
@@ -182,17 +182,17 @@
     ) -> Effect {
         self.next_sub += 1;
         self.keys_by_sub.insert(self.next_sub, key.clone());
-        let submit = &self.in_flight[key].submit;
+        let action = &self.in_flight[key].action;
         let sub = Sub {
             id: self.next_sub,
-            service: submit.service.clone(),
+            service: action.service.clone(),
             backend,
-            caller: submit.caller.clone(),
+            caller: action.caller.clone(),
             work: Work::Action {
-                key: submit.key.as_str().into(),
+                key: action.key.as_str().into(),
             },
             allowance: deadline.saturating_sub(now),
-            body: submit.body.clone(),
+            body: action.body.clone(),
             hedge: false,
         };
         Effect::Send { to: owner, sub }
@@ -237,8 +237,8 @@
             // There is no waiter to answer "not run", so the id stays usable.
             return self.answer_waiters(key, &no_backend_accepted());
         };
-        let service = request.submit.service.clone();
-        let digest = crate::record::digest(&service, &request.submit.body);
+        let service = request.action.service.clone();
+        let digest = crate::record::digest(&service, &request.action.body);
         let tried = request.tried.clone();
         let may_retry = tried.len() < MAX_ATTEMPTS && deadline > now && self.leaving.is_none();
         let next = match may_retry {
@@ -275,7 +275,7 @@
         let Some(request) = self.in_flight.remove(key) else {
             return Vec::new();
         };
-        self.in_flight_quota.release(&request.submit.caller);
+        self.in_flight_quota.release(&request.action.caller);
         for (_, deadline) in &request.waiters {
             self.timers.remove(&(*deadline, Timer::Flight(key.clone())));
         }
