--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -202,7 +202,7 @@
 
 fn entry(c: &mut Criterion) {
     for (shards, hosts) in SIZES {
-        let mut entry = Entry::new(StdRng::seed_from_u64(1)).keeping(0);
+        let mut entry = Entry::new(StdRng::seed_from_u64(1)).with_cache_bytes(0);
         // The query itself touches 68 shards at either size.
         let whole = view(shards, hosts);
         let mut values = (*whole.values).clone();
--- a/crates/lentillift-entry/examples/cache.rs
+++ b/crates/lentillift-entry/examples/cache.rs
@@ -11,10 +11,10 @@
 use lentillift_core::sub::Load;
 use lentillift_core::time::Time;
 use lentillift_entry::answer::SearchRequest;
+use lentillift_entry::cache::DEFAULT_MAX_BYTES;
 use lentillift_entry::core::Effect;
 use lentillift_entry::core::Entry;
 use lentillift_entry::core::Event;
-use lentillift_entry::kept::MOST_BYTES;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_settings::jsonc;
@@ -123,9 +123,13 @@
 
 impl World {
     fn new(way: Way, skew: f64) -> Self {
-        let most = if way == Way::Kept { MOST_BYTES } else { 0 };
-        let entries =
-            (0..ENTRIES as u64).map(|n| Entry::new(StdRng::seed_from_u64(n)).keeping(most));
+        let most = if way == Way::Kept {
+            DEFAULT_MAX_BYTES
+        } else {
+            0
+        };
+        let entries = (0..ENTRIES as u64)
+            .map(|n| Entry::new(StdRng::seed_from_u64(n)).with_cache_bytes(most));
         let mut sum = 0.0;
         let weights = (1..=QUERIES).map(|rank| {
             sum += (rank as f64).powf(-skew);
--- a/crates/lentillift-entry/src/answer.rs
+++ b/crates/lentillift-entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller asks and what it gets.
+//! The request of a search and its answer.
 
 use lentillift_core::coverage::Coverage;
 use lentillift_core::hit::Hit;
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A query as its caller put it.
+/// A query as its caller sent it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SearchRequest {
-    /// The service to search.
+    /// Name of the service to search.
     pub service: id::Service,
-    /// The caller.
+    /// Name of the caller.
     pub caller: id::Caller,
-    /// How long the caller waits for the answer.
+    /// Time that the caller waits for the answer, counted from the arrival of the query.
     pub allowance: Duration,
-    /// How many hits the caller wants at most.
+    /// Maximum number of hits in the answer.
     pub limit: usize,
-    /// The least share of the data that the caller accepts, from 0 to 1.
+    /// Minimum coverage that the caller accepts, as a share of the data from 0 to 1.
     pub least_coverage: f64,
-    /// The body, passed on to backend servers as it came.
+    /// The body, passed on unchanged to backend servers.
     #[serde(with = "lentillift_core::text")]
     pub body: Arc<[u8]>,
 }
@@ -30,12 +30,12 @@
 ///
 /// # Invariants
 ///
-/// All hits are of `snapshot`, and of the shards that `coverage` counts as answered.
+/// All hits come from `snapshot`, and from the shards that `coverage` counts as answered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// The snapshot that was searched.
     pub snapshot: id::Snapshot,
-    /// What part of the snapshot the hits come from.
+    /// The shards that the hits come from, and the missing ones with the reason of each.
     pub coverage: Coverage,
     /// The best hits, in the order of [`lentillift_core::hit::order`].
     pub hits: Vec<Hit>,
--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -1,17 +1,17 @@
-//! All queries that this process has taken from callers.
+//! State machine of one entry: all queries that this process has taken from callers.
 
-mod doubt;
+mod canary;
 mod restart;
+mod result;
 mod send;
-mod settle;
 
 use crate::answer::Answer;
 use crate::answer::SearchRequest;
-use crate::flights::Flights;
-use crate::kept;
-use crate::kept::Kept;
+use crate::cache;
+use crate::cache::AnswerCache;
+use crate::in_flight::InFlight;
 use crate::plan;
-use crate::plan::Gone;
+use crate::plan::MissingSnapshots;
 use crate::query::Query;
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
@@ -21,7 +21,7 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
 use lentillift_fleet::quarantine;
-use lentillift_fleet::quarantine::Admission as Treatment;
+use lentillift_fleet::quarantine::Admission as QuarantineAdmission;
 use lentillift_fleet::view::View;
 use lentillift_policy::admission;
 use lentillift_policy::admission::Admission;
@@ -43,114 +43,114 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What happens to an entry.
+/// An input of an [`Entry`]. Recorded in traces, so its names are part of a stored format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// A caller asked.
+    /// A caller sent a query.
     Ask {
-        /// Number under which the answer is to be returned.
+        /// Number of the request, which its answer or refusal carries.
         request: id::Request,
-        /// What the caller asked.
+        /// The query.
         ask: SearchRequest,
     },
-    /// The caller went away.
+    /// The caller closed its connection.
     Gone {
-        /// The request's number.
+        /// Number of the request.
         request: id::Request,
     },
     /// An owner answered a sub-request.
     Reply {
-        /// The sub-request's number.
+        /// Number of the sub-request.
         id: id::Sub,
-        /// The result.
+        /// How the sub-request ended.
         result: sub::Result,
-        /// The backend server's load, if its owner told it.
+        /// Load of the backend server, if its owner reported it.
         load: Option<Load>,
     },
-    /// The link to an owner ended; what it was sent may or may not have arrived.
+    /// The link to an owner ended; messages sent over it may or may not have arrived.
     Down {
         /// The owner's host.
         host: id::Host,
     },
-    /// Time passed.
+    /// A deadline or hedge may be due; see [`Entry::next_wake`].
     Tick,
     /// The view of the fleet changed.
     View(Arc<View>),
 }
 
-/// What an entry wants done.
+/// An output of an [`Entry`]: an action for the process to carry out.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
     /// Send a sub-request to an owner.
     Send {
-        /// The owner.
+        /// Host of the owner.
         to: id::Host,
         /// The sub-request.
         sub: Sub,
     },
-    /// Tell an owner that a sub-request's reply is of no more use.
+    /// Cancel a sub-request at its owner.
     Cancel {
-        /// The owner.
+        /// Host of the owner.
         to: id::Host,
-        /// The sub-request's number.
+        /// Number of the sub-request.
         id: id::Sub,
     },
     /// Answer a caller.
     Answer {
-        /// The request's number.
+        /// Number of the request.
         request: id::Request,
         /// The answer.
         answer: Answer,
     },
-    /// Turn a caller away.
+    /// Refuse a query.
     Refuse {
-        /// The request's number.
+        /// Number of the request.
         request: id::Request,
-        /// Why, and when to come back.
+        /// The reason, and when a retry makes sense.
         refusal: Refusal,
     },
 }
 
-/// A caller's query, which may share its run with others.
+/// A caller's request, which may share its run with others.
 #[derive(Debug)]
 struct Member {
     run: id::Request,
-    ask: SearchRequest,
+    search: SearchRequest,
     deadline: Time,
 }
 
-/// What an entry remembers of one service.
+/// Admission, hedging and retry state of one service.
 #[derive(Debug, Default)]
-struct Pace {
+struct ServiceControls {
     admission: Admission,
     hedge: Hedge,
     retry: Retry,
 }
 
-/// All queries that this process has taken from callers.
+/// State machine of one entry: all queries that this process has taken from callers.
 #[derive(Debug)]
 pub struct Entry<R> {
     view: Arc<View>,
     policy: Policy,
     domain: Option<id::Domain>,
     members: HashMap<id::Request, Member>,
-    /// Queries under way, by the number of the request that started each.
-    // INVARIANT: Each has a member that waits for it.
+    /// Running queries, by the number of the request that started each.
+    // INVARIANT: Each has at least one member.
     queries: HashMap<id::Request, Query>,
-    /// The queries that further callers can share.
+    /// The runs that further callers with the same query can share.
     runs: Runs,
-    kept: Kept,
-    flights: Flights,
+    cache: AnswerCache,
+    in_flight: InFlight,
     /// Deadlines of the members.
     deadlines: BTreeSet<(Time, id::Request)>,
     loads: Loads,
-    gone: Gone,
-    /// Requests under which backend servers ended.
+    missing_snapshots: MissingSnapshots,
+    /// Queries, by fingerprint, under which backend servers ended.
     quarantine: quarantine::Table,
     // INVARIANT: Holds configured services only.
-    paces: HashMap<id::Service, Pace>,
+    controls: HashMap<id::Service, ServiceControls>,
     next_sub: id::Sub,
     counts: Counts,
     rng: R,
@@ -160,10 +160,10 @@
 where
     R: Rng,
 {
-    /// Starts without a view, hence refusing everything.
+    /// Creates an entry without a view of the fleet; it refuses everything until it gets one.
     pub fn new(mut rng: R) -> Self {
-        // A late reply to the process that ran here before must not be taken for one of ours, so
-        // numbers don't start where its numbers started.
+        // Numbers start at a random value so that a late reply to the previous process on this host
+        // can't match one of ours.
         let next_sub = rng.random::<id::Sub>() >> 1;
         Self {
             view: Arc::default(),
@@ -172,86 +172,93 @@
             members: HashMap::new(),
             queries: HashMap::new(),
             runs: Runs::default(),
-            kept: Kept::new(kept::MOST_BYTES),
-            flights: Flights::default(),
+            cache: AnswerCache::new(cache::DEFAULT_MAX_BYTES),
+            in_flight: InFlight::default(),
             deadlines: BTreeSet::new(),
             loads: Loads::default(),
-            gone: Gone::default(),
+            missing_snapshots: MissingSnapshots::default(),
             quarantine: quarantine::Table::default(),
-            paces: HashMap::new(),
+            controls: HashMap::new(),
             next_sub,
             counts: Counts::default(),
             rng,
         }
     }
 
-    /// Prefers backend servers in the failure domain that this process is in.
+    /// Sets the failure domain of this process, whose backend servers are preferred.
     pub fn with_domain(mut self, domain: id::Domain) -> Self {
         self.domain = Some(domain);
         self
     }
 
-    /// Keeps up to `most` bytes of answers.
-    pub fn keeping(mut self, most: usize) -> Self {
-        self.kept = Kept::new(most);
+    /// Sets the capacity of the answer cache, in bytes; 0 disables it.
+    pub fn with_cache_bytes(mut self, max_bytes: usize) -> Self {
+        self.cache = AnswerCache::new(max_bytes);
         self
     }
 
-    /// Takes in an event and says what to do about it.
+    /// Handles an event and returns the effects to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         match event {
-            Event::Ask { request, ask } => self.ask(now, request, ask),
+            Event::Ask { request, ask } => self.start_search(now, request, ask),
             Event::Gone { request } => self.abandon(now, request),
-            Event::Reply { id, result, load } => self.reply(now, id, result, load),
-            Event::Down { host } => self.lose(now, &host),
+            Event::Reply { id, result, load } => self.on_result(now, id, result, load),
+            Event::Down { host } => self.fail_host(now, &host),
             Event::Tick => self.tick(now),
             Event::View(view) => {
-                self.refit(view);
+                self.apply_view(view);
                 Vec::new()
             }
         }
     }
 
-    /// When [`Event::Tick`] is next due.
+    /// Time at which [`Event::Tick`] is next due.
     pub fn next_wake(&self) -> Option<Time> {
         let deadline = self.deadlines.first().map(|(time, _)| *time);
-        let hedge = self.flights.next_hedge();
+        let hedge = self.in_flight.next_hedge();
         deadline.into_iter().chain(hedge).min()
     }
 
-    /// Counts of decisions since they were last taken.
+    /// Counters of decisions, since they were last taken.
     pub fn counts(&mut self) -> &mut Counts {
         &mut self.counts
     }
 
-    fn refit(&mut self, view: Arc<View>) {
-        let same = view.generation > 0 && view.generation == self.view.generation;
+    /// Replaces the view, and drops state of what it no longer contains.
+    fn apply_view(&mut self, view: Arc<View>) {
+        let unchanged = view.generation > 0 && view.generation == self.view.generation;
         self.view = view;
-        if same {
+        if unchanged {
             return;
         }
         let config = self.view.values.config.as_ref();
         self.policy = config.map_or_else(Policy::default, |config| config.policy.clone());
         let placements = &self.view.values.placements;
-        self.kept.retain(|service, snapshot| {
+        self.cache.retain(|service, snapshot| {
             let placement = placements.get(service);
             placement.is_some_and(|p| p.maps.iter().any(|map| map.snapshot == snapshot))
         });
         let backends = &self.view.backends;
         self.loads.retain(|backend| backends.contains_key(backend));
-        self.paces
+        self.controls
             .retain(|name, _| config.is_some_and(|config| config.services.contains_key(name)));
     }
 
-    fn ask(&mut self, now: Time, request: id::Request, ask: SearchRequest) -> Vec<Effect> {
-        let query = match self.check(now, &ask) {
+    /// Answers a request from the cache, adds it to a run of the same query, or starts a run.
+    fn start_search(
+        &mut self,
+        now: Time,
+        request: id::Request,
+        search: SearchRequest,
+    ) -> Vec<Effect> {
+        let query = match self.validate(now, &search) {
             Ok(query) => query,
             Err(refusal) => return vec![Effect::Refuse { request, refusal }],
         };
-        let key = key(&query);
+        let key = coalescing_key(&query);
         let coalescing = &self.policy.coalescing;
         if coalescing.on
-            && let Some(answer) = self.kept.get(&key, ask.limit)
+            && let Some(answer) = self.cache.get(&key, search.limit)
         {
             self.counts.add("lentillift_kept_answers_total");
             let answer = answer.clone();
@@ -259,11 +266,11 @@
         }
         if let coalescing::Next::Join(run) = self.runs.next(coalescing, &key) {
             self.counts.add("lentillift_coalesced_total");
-            self.enter(request, run, ask, query.deadline, query.rank);
+            self.add_member(request, run, search, query.deadline, query.rank);
             return Vec::new();
         }
-        let treatment = self.treat(now, &query);
-        if let Treatment::Refuse(left) = treatment {
+        let quarantine_admission = self.quarantine_admission(now, &query);
+        if let QuarantineAdmission::Refuse(left) = quarantine_admission {
             let detail = "backend servers end under requests with this content";
             let refusal = Refusal::new(Cause::Quarantined, detail).retry_after(left);
             return vec![Effect::Refuse { request, refusal }];
@@ -274,21 +281,21 @@
         self.runs.start(key, request);
         let (deadline, rank) = (query.deadline, query.rank);
         self.queries.insert(request, query);
-        self.enter(request, request, ask, deadline, rank);
-        let mut effects = match treatment {
-            Treatment::Canary => self.start_with_canary(now, request),
+        self.add_member(request, request, search, deadline, rank);
+        let mut effects = match quarantine_admission {
+            QuarantineAdmission::Canary => self.start_with_canary(now, request),
             _ => self.start(now, request),
         };
         effects.extend(self.finish_if_settled(now, request));
         effects
     }
 
-    /// Makes a caller a member of a run.
-    fn enter(
+    /// Adds a request to the members of a run.
+    fn add_member(
         &mut self,
         request: id::Request,
         run: id::Request,
-        ask: SearchRequest,
+        search: SearchRequest,
         deadline: Time,
         rank: u8,
     ) {
@@ -298,13 +305,17 @@
             query.rank = query.rank.min(rank);
         }
         self.deadlines.insert((deadline, request));
-        let member = Member { run, ask, deadline };
+        let member = Member {
+            run,
+            search,
+            deadline,
+        };
         self.members.insert(request, member);
     }
 
-    /// Checks a query and pins it to a snapshot.
-    fn check(&self, now: Time, ask: &SearchRequest) -> Result<Query, Refusal> {
-        // A process that was paused or cut off knows nothing of what was taken out meanwhile.
+    /// Validates a request and pins its query to a snapshot.
+    fn validate(&self, now: Time, search: &SearchRequest) -> Result<Query, Refusal> {
+        // A process that was paused or partitioned missed what was taken out of service meanwhile.
         if !self.view.fresh(now) {
             return Err(Refusal::new(Cause::Stale, "no fresh view of the fleet")
                 .retry_after(Duration::from_secs(1)));
@@ -313,46 +324,51 @@
             return Err(Refusal::new(Cause::Stale, "no configuration yet")
                 .retry_after(Duration::from_secs(1)));
         };
-        let service = config.services.get(&ask.service);
+        let service = config.services.get(&search.service);
         let Some(service) = service.filter(|service| service.kind == Kind::Search) else {
-            let detail = format!("no search service `{}`", ask.service);
+            let detail = format!("no search service `{}`", search.service);
             return Err(Refusal::new(Cause::UnknownService, detail));
         };
-        if !config.callers.contains_key(&ask.caller) {
-            let detail = format!("no caller `{}`", ask.caller);
+        if !config.callers.contains_key(&search.caller) {
+            let detail = format!("no caller `{}`", search.caller);
             return Err(Refusal::new(Cause::UnknownCaller, detail));
         }
-        if !config.allows(ask.allowance) {
+        if !config.allows(search.allowance) {
             let detail = format!(
                 "found {} ms, from {} to {} ms is right",
-                ask.allowance.as_millis(),
+                search.allowance.as_millis(),
                 config.least_allowance_ms,
                 config.most_allowance_ms
             );
             return Err(Refusal::new(Cause::Allowance, detail));
         }
-        let Some(map) = plan::snapshot(&self.view, &ask.service, &self.gone, now) else {
+        let Some(map) =
+            plan::choose_snapshot(&self.view, &search.service, &self.missing_snapshots, now)
+        else {
             return Err(Refusal::new(Cause::NoSnapshot, "no snapshot is published"));
         };
-        let deadline = partial::due(&self.policy.partial, now, ask.allowance);
-        let class = config.class(service, &ask.caller);
-        let mut query = Query::new(ask.clone(), map.clone(), now, deadline);
+        let deadline = partial::due(&self.policy.partial, now, search.allowance);
+        let class = config.class(service, &search.caller);
+        let mut query = Query::new(search.clone(), map.clone(), now, deadline);
         query.rank = class.map_or(u8::MAX, |class| class.rank);
         Ok(query)
     }
 
-    /// Asks whether a query may run beside all others.
+    /// Applies admission control to a query.
     fn admit(&mut self, now: Time, query: &Query) -> Result<(), Refusal> {
         let config = self.view.values.config.as_ref();
-        let caller = config.and_then(|config| config.callers.get(&query.ask.caller));
+        let caller = config.and_then(|config| config.callers.get(&query.search.caller));
         let ask = admission::Ask {
             rank: query.rank,
-            caller: query.ask.caller.clone(),
+            caller: query.search.caller.clone(),
             weight: caller.map_or(1, |caller| caller.weight),
             cost: query.map.parts.len() as u32,
         };
-        let pace = self.paces.entry(query.ask.service.clone()).or_default();
-        match pace.admission.next(&self.policy.admission, now, &ask) {
+        let controls = self
+            .controls
+            .entry(query.search.service.clone())
+            .or_default();
+        match controls.admission.next(&self.policy.admission, now, &ask) {
             admission::Next::Take => Ok(()),
             admission::Next::Refuse { retry_after } => {
                 self.counts.add("lentillift_admission_refused_total");
@@ -363,11 +379,11 @@
     }
 }
 
-/// What makes another query identical to this one.
-fn key(query: &Query) -> Key {
+/// The key under which identical queries share a run and a cached answer.
+fn coalescing_key(query: &Query) -> Key {
     Key {
-        service: query.ask.service.clone(),
+        service: query.search.service.clone(),
         snapshot: query.map.snapshot,
-        body: query.ask.body.clone(),
+        body: query.search.body.clone(),
     }
 }
--- a/crates/lentillift-entry/src/core/restart.rs
+++ b/crates/lentillift-entry/src/core/restart.rs
@@ -1,13 +1,14 @@
-//! One fresh start of a query at a newer snapshot.
+//! Start of a query, and its single restart at a newer snapshot.
 //!
-//! A version change drops a snapshot while queries on it are under way. Without a fresh start each
-//! of them would miss the shards whose servers have moved on, although all of the newer snapshot can
-//! be had. More than one would let a query run after versions until its time is up.
+//! A version change drops a snapshot while queries on it are running. Without a restart each of
+//! them would miss the shards whose servers dropped the snapshot, although the newer one can be
+//! served completely. A query is restarted at most once, as it could otherwise follow version after
+//! version until its deadline.
 
 use super::Effect;
 use super::Entry;
-use super::key;
-use super::settle::cancel;
+use super::coalescing_key;
+use super::result::cancel;
 use crate::plan;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -17,32 +18,37 @@
 where
     R: Rng,
 {
-    /// Starts a run anew if it may and if there is time.
+    /// Restarts a run at a newer snapshot, if it was not restarted yet and has time left.
     pub(super) fn restart(&mut self, now: Time, run: id::Request) -> Vec<Effect> {
         let Some(query) = self.queries.get_mut(&run) else {
             return Vec::new();
         };
-        // A run takes about as long as this one has taken to get here, or longer.
-        let spent = now.saturating_sub(query.since);
+        // The restarted run takes at least about as long as this one has taken so far.
+        let spent = now.saturating_sub(query.started_at);
         if query.restarted || query.deadline.saturating_sub(now) <= spent {
             return Vec::new();
         }
-        let newest = plan::snapshot(&self.view, &query.ask.service, &self.gone, now);
+        let newest = plan::choose_snapshot(
+            &self.view,
+            &query.search.service,
+            &self.missing_snapshots,
+            now,
+        );
         let Some(map) = newest.filter(|map| map.snapshot > query.map.snapshot) else {
             return Vec::new();
         };
-        let old = key(query);
+        let old_key = coalescing_key(query);
         query.restart(map.clone());
-        let new = key(query);
-        self.runs.close(&old, run);
-        self.runs.start(new, run);
+        let new_key = coalescing_key(query);
+        self.runs.close(&old_key, run);
+        self.runs.start(new_key, run);
         self.counts.add("lentillift_fresh_starts_total");
-        let mut effects = cancel(self.flights.remove_run(run));
+        let mut effects = cancel(self.in_flight.remove_run(run));
         effects.extend(self.start(now, run));
         effects
     }
 
-    /// Asks for all shards of a run.
+    /// Sends the first sub-request for each shard of a run.
     pub(super) fn start(&mut self, now: Time, run: id::Request) -> Vec<Effect> {
         let shards = self.queries.get(&run).map_or(0, |q| q.map.parts.len());
         let mut effects = Vec::with_capacity(shards);
@@ -52,12 +58,18 @@
                 && let Some(query) = self.queries.get_mut(&run)
             {
                 let part = &query.map.parts[position];
-                let reason = plan::absence(&self.view, part, query.map.snapshot, &self.gone, now);
-                query.give_up(position, reason);
+                let reason = plan::unservable_reason(
+                    &self.view,
+                    part,
+                    query.map.snapshot,
+                    &self.missing_snapshots,
+                    now,
+                );
+                query.mark_missing(position, reason);
             }
             effects.extend(sent);
         }
-        self.close_if_holed(run);
+        self.close_if_incomplete(run);
         effects
     }
 }
--- a/crates/lentillift-entry/src/core/send.rs
+++ b/crates/lentillift-entry/src/core/send.rs
@@ -1,9 +1,9 @@
-//! Sending sub-requests: the first, the hedge and the retry.
+//! Sending of sub-requests: first attempts, retries and hedges.
 
 use super::Effect;
 use super::Entry;
-use crate::flights::Flight;
-use crate::query::State;
+use crate::in_flight::SubRequest;
+use crate::query::ShardState;
 use lentillift_core::id;
 use lentillift_core::sub::Sub;
 use lentillift_core::sub::Work;
@@ -17,60 +17,67 @@
 where
     R: Rng,
 {
-    /// Sends the sub-request for one shard to a replica that was not tried yet.
+    /// Sends the sub-request for one shard to a replica that was not tried yet, if there is one.
     pub(super) fn try_replica(
         &mut self,
         now: Time,
         run: id::Request,
         position: usize,
         mut tried: Vec<id::Backend>,
-        again: bool,
+        is_retry: bool,
     ) -> Option<Effect> {
-        let backend = self.choose(now, run, position, &tried)?;
+        let backend = self.choose_replica(now, run, position, &tried)?;
         tried.push(backend.clone());
         let query = self.queries.get_mut(&run)?;
-        query.states[position] = State::Pending { tried };
-        let pace = self.paces.entry(query.ask.service.clone()).or_default();
+        query.states[position] = ShardState::Pending { tried };
+        let controls = self
+            .controls
+            .entry(query.search.service.clone())
+            .or_default();
         let mut hedge_at = None;
-        if !again {
-            pace.retry.sent(&self.policy.retry);
-            hedge_at = pace.hedge.sent(&self.policy.hedge, now);
+        if !is_retry {
+            controls.retry.sent(&self.policy.retry);
+            hedge_at = controls.hedge.sent(&self.policy.hedge, now);
         }
         self.send(now, run, position, backend, hedge_at, false)
     }
 
     /// Sends the hedges that are due.
-    pub(super) fn hedge(&mut self, now: Time) -> Vec<Effect> {
+    pub(super) fn send_due_hedges(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(slow) = self.flights.pop_hedge(now) {
-            effects.extend(self.hedge_one(now, &slow));
+        while let Some(slow) = self.in_flight.pop_hedge(now) {
+            effects.extend(self.send_hedge(now, &slow));
         }
         effects
     }
 
-    fn hedge_one(&mut self, now: Time, slow: &Flight) -> Option<Effect> {
+    /// Sends a hedge for a slow sub-request, unless its budget or the load forbids it.
+    fn send_hedge(&mut self, now: Time, slow: &SubRequest) -> Option<Effect> {
         let (run, position) = (slow.run, slow.position);
         if self.next_send(now, run) != Next::Send {
             return None;
         }
         let query = self.queries.get(&run)?;
-        let State::Pending { tried } = &query.states[position] else {
+        let ShardState::Pending { tried } = &query.states[position] else {
             return None;
         };
         if tried.len() as u32 >= self.policy.retry.tries {
             return None;
         }
         let mut tried = tried.clone();
-        let backend = self.choose(now, run, position, &tried)?;
+        let backend = self.choose_replica(now, run, position, &tried)?;
         let query = self.queries.get_mut(&run)?;
-        let pace = self.paces.entry(query.ask.service.clone()).or_default();
+        let controls = self
+            .controls
+            .entry(query.search.service.clone())
+            .or_default();
         let busy = self.loads.is_busy(&self.policy.choice, now, &backend);
-        match pace.hedge.next(busy) {
+        match controls.hedge.next(busy) {
             hedge::Next::Send => {}
             hedge::Next::Busy => {
                 self.counts.add("lentillift_hedges_busy_total");
-                if let Some(due) = pace.hedge.again(now) {
-                    self.flights.set_hedge(run, position, due);
+                if let Some(due) = controls.hedge.again(now) {
+                    self.in_flight.set_hedge(run, position, due);
                 }
                 return None;
             }
@@ -81,12 +88,12 @@
         }
         self.counts.add("lentillift_hedges_total");
         tried.push(backend.clone());
-        query.states[position] = State::Pending { tried };
+        query.states[position] = ShardState::Pending { tried };
         self.send(now, run, position, backend, None, true)
     }
 
-    /// Chooses a replica of a shard that was not tried yet.
-    fn choose(
+    /// Chooses a replica of a shard that is in service, has an owner and was not tried yet.
+    fn choose_replica(
         &mut self,
         now: Time,
         run: id::Request,
@@ -100,7 +107,11 @@
             .iter()
             .filter(|backend| view.in_service(backend) && !tried.contains(backend))
             .filter(|backend| view.owner(backend).is_some())
-            .filter(|backend| !self.gone.is_gone(now, backend, query.map.snapshot));
+            .filter(|backend| {
+                !self
+                    .missing_snapshots
+                    .is_missing(now, backend, query.map.snapshot)
+            });
         let candidates: Vec<Candidate<'_>> = usable
             .map(|backend| Candidate {
                 backend,
@@ -112,6 +123,7 @@
         chosen.cloned()
     }
 
+    /// Registers a sub-request as in flight and returns the effect that sends it.
     fn send(
         &mut self,
         now: Time,
@@ -119,35 +131,35 @@
         position: usize,
         backend: id::Backend,
         hedge_at: Option<Time>,
-        hedge: bool,
+        is_hedge: bool,
     ) -> Option<Effect> {
         let query = self.queries.get(&run)?;
         let owner = self.view.owner(&backend)?.clone();
         self.next_sub += 1;
         let sub = Sub {
             id: self.next_sub,
-            service: query.ask.service.clone(),
+            service: query.search.service.clone(),
             backend: backend.clone(),
-            caller: query.ask.caller.clone(),
+            caller: query.search.caller.clone(),
             work: Work::Search {
                 snapshot: query.map.snapshot,
                 shard: query.map.parts[position].shard,
             },
             allowance: query.deadline.saturating_sub(now),
-            body: query.ask.body.clone(),
-            hedge,
+            body: query.search.body.clone(),
+            hedge: is_hedge,
         };
         self.loads.sent(&backend);
-        let flight = Flight {
+        let sub_request = SubRequest {
             run,
             position,
             owner: owner.clone(),
             backend,
-            since: now,
+            sent_at: now,
             hedge_at,
-            hedge,
+            is_hedge,
         };
-        self.flights.insert(sub.id, flight);
+        self.in_flight.insert(sub.id, sub_request);
         Some(Effect::Send { to: owner, sub })
     }
 }
--- a/crates/lentillift-entry/src/plan.rs
+++ b/crates/lentillift-entry/src/plan.rs
@@ -1,9 +1,9 @@
 //! Choice of a snapshot for a query.
 //!
-//! A snapshot can be served when each of its shards has a backend server that may be used and has
-//! not said lately that it doesn't hold the snapshot. The newest such snapshot is taken. Without
-//! this each query after a version change would run into servers that have dropped the old index,
-//! or have not loaded the new one yet, and its answer would miss their shards.
+//! A snapshot can be served if each of its shards has a backend server that is in service and did
+//! not recently report that it lacks the snapshot. The newest such snapshot is chosen. Otherwise
+//! queries after a version change would be sent to servers that have dropped the old index, or have
+//! not loaded the new one yet, and their answers would miss those shards.
 
 use lentillift_core::coverage::Reason;
 use lentillift_core::id;
@@ -14,48 +14,48 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How long a backend server's word that it doesn't hold a snapshot counts.
+/// How long a backend server's report that it lacks a snapshot is valid.
 ///
-/// A server that loads a new snapshot has it some seconds later; asking again costs one refused
-/// sub-request per server and entry, so that a few seconds are often enough.
-const AGE: Duration = Duration::from_secs(5);
+/// A server that is loading a snapshot has it some seconds later. A new attempt costs one refused
+/// sub-request per server and entry, so one every few seconds is cheap.
+const REPORT_TTL: Duration = Duration::from_secs(5);
 
-/// Entries beyond which those out of date are dropped.
-const MANY: usize = 1024;
+/// Number of reports from which on expired ones are removed at each insertion.
+const PRUNE_THRESHOLD: usize = 1024;
 
-/// Which backend servers have said lately that they don't hold a snapshot.
+/// Recent reports of backend servers that they lack a snapshot.
 #[derive(Debug, Default)]
-pub struct Gone {
-    seen: HashMap<(id::Backend, id::Snapshot), Time>,
+pub struct MissingSnapshots {
+    reported_at: HashMap<(id::Backend, id::Snapshot), Time>,
 }
 
-impl Gone {
-    /// Notes that `backend` does not hold `snapshot`.
-    pub fn note(&mut self, now: Time, backend: id::Backend, snapshot: id::Snapshot) {
-        if self.seen.len() >= MANY {
-            self.seen.retain(|_, at| *at + AGE > now);
+impl MissingSnapshots {
+    /// Records a report that `backend` lacks `snapshot`.
+    pub fn record(&mut self, now: Time, backend: id::Backend, snapshot: id::Snapshot) {
+        if self.reported_at.len() >= PRUNE_THRESHOLD {
+            self.reported_at.retain(|_, at| *at + REPORT_TTL > now);
         }
-        self.seen.insert((backend, snapshot), now);
+        self.reported_at.insert((backend, snapshot), now);
     }
 
-    /// Whether `backend` is held not to have `snapshot`.
-    pub fn is_gone(&self, now: Time, backend: &id::Backend, snapshot: id::Snapshot) -> bool {
-        // Looked up by a key that is cheap to make: the name is a counted pointer.
-        !self.seen.is_empty()
+    /// Whether `backend` recently reported that it lacks `snapshot`.
+    pub fn is_missing(&self, now: Time, backend: &id::Backend, snapshot: id::Snapshot) -> bool {
+        // Cloning the name for the key is cheap: it is reference-counted.
+        !self.reported_at.is_empty()
             && self
-                .seen
+                .reported_at
                 .get(&(backend.clone(), snapshot))
-                .is_some_and(|at| *at + AGE > now)
+                .is_some_and(|at| *at + REPORT_TTL > now)
     }
 }
 
-/// The newest snapshot of `service` that can be served as a whole.
+/// Chooses the newest snapshot of `service` that can be served completely.
 ///
-/// When there is none, the one of which the largest share can be served, and of those the newest.
-pub fn snapshot<'a>(
+/// If there is none, the one with the largest servable share of its shards, the newest of equals.
+pub fn choose_snapshot<'a>(
     view: &'a View,
     service: &id::Service,
-    gone: &Gone,
+    missing: &MissingSnapshots,
     now: Time,
 ) -> Option<&'a Map> {
     let placement = view.values.placements.get(service)?;
@@ -63,7 +63,7 @@
     maps.sort_by_key(|map| std::cmp::Reverse(map.snapshot));
     let mut best = None;
     for map in maps {
-        let share = servable(view, map, gone, now);
+        let share = servable_parts(view, map, missing, now);
         if share == map.parts.len() {
             return Some(map);
         }
@@ -75,22 +75,28 @@
     best.map(|(_, map)| map)
 }
 
-/// How many parts of `map` can be served.
-fn servable(view: &View, map: &Map, gone: &Gone, now: Time) -> usize {
-    let held = |part: &&Part| {
+/// Number of parts of `map` that can be served.
+fn servable_parts(view: &View, map: &Map, missing: &MissingSnapshots, now: Time) -> usize {
+    let is_servable = |part: &&Part| {
         let mut replicas = part.replicas.iter();
         replicas.any(|backend| {
             view.in_service(backend)
                 && view.owner(backend).is_some()
-                && !gone.is_gone(now, backend, map.snapshot)
+                && !missing.is_missing(now, backend, map.snapshot)
         })
     };
-    map.parts.iter().filter(held).count()
+    map.parts.iter().filter(is_servable).count()
 }
 
-/// Why no replica of `part` can be asked.
-pub fn absence(view: &View, part: &Part, snapshot: id::Snapshot, gone: &Gone, now: Time) -> Reason {
-    let out = |backend: &id::Backend| {
+/// Why no sub-request can be sent to any replica of `part`.
+pub fn unservable_reason(
+    view: &View,
+    part: &Part,
+    snapshot: id::Snapshot,
+    missing: &MissingSnapshots,
+    now: Time,
+) -> Reason {
+    let is_domain_out = |backend: &id::Backend| {
         let known = view.backends.get(backend);
         let config = view.values.config.as_ref();
         known
@@ -98,12 +104,12 @@
             .is_some_and(|(known, config)| config.domains_out.contains(&known.server.domain))
     };
     let replicas = &part.replicas;
-    if !replicas.is_empty() && replicas.iter().all(out) {
+    if !replicas.is_empty() && replicas.iter().all(is_domain_out) {
         return Reason::DomainOut;
     }
     let mut usable = replicas.iter().filter(|b| view.in_service(b));
-    let some = usable.clone().next().is_some();
-    match some && usable.all(|b| gone.is_gone(now, b, snapshot)) {
+    let any_usable = usable.clone().next().is_some();
+    match any_usable && usable.all(|b| missing.is_missing(now, b, snapshot)) {
         true => Reason::SnapshotGone,
         false => Reason::NoReplica,
     }
--- a/crates/lentillift-entry/src/query.rs
+++ b/crates/lentillift-entry/src/query.rs
@@ -1,4 +1,4 @@
-//! One query's shards, replies and deadline.
+//! The state of one query: its shards, their replies and its deadline.
 
 use crate::answer::Answer;
 use crate::answer::SearchRequest;
@@ -14,118 +14,120 @@
 use lentillift_core::time::Time;
 use std::collections::BTreeSet;
 
-/// Where a query stands with one of its shards.
+/// State of one shard of a query.
 #[derive(Debug)]
-pub enum State {
-    /// A sub-request is under way.
+pub enum ShardState {
+    /// A sub-request is in flight, or the shard waits for the result of the canary.
     Pending {
-        /// Replicas that were tried, the one under way last.
+        /// Replicas that were tried, the current one last.
         tried: Vec<id::Backend>,
     },
-    /// The shard's reply is at hand.
+    /// The hits of the shard's reply.
     Answered(Vec<Hit>),
-    /// The shard is given up.
+    /// The shard is missing from the answer, for this reason.
     Missing(Reason),
 }
 
-/// A query under way, for one caller or several that asked the same.
+/// A running query, shared by all callers that sent the same one.
 #[derive(Debug)]
 pub struct Query {
-    /// What the first caller asked; the others differ in limit, least coverage and allowance only.
-    pub ask: SearchRequest,
-    /// Rank of the best class among its callers.
+    /// The request of the first caller. The others differ at most in caller, limit, minimum
+    /// coverage and allowance.
+    pub search: SearchRequest,
+    /// Rank of the best class among its callers; 0 is the best.
     pub rank: u8,
-    /// The callers that wait for it.
+    /// Numbers of the requests that wait for its answer.
     pub members: BTreeSet<id::Request>,
-    /// The map of the snapshot that the query keeps to.
+    /// The map of the snapshot that the query is pinned to.
     pub map: Map,
-    /// Where it stands with each part of `map`, by position.
-    // INVARIANT: As long as `map.parts`.
-    pub states: Vec<State>,
-    /// When it was asked.
-    pub since: Time,
-    /// Whether it was started anew at a newer snapshot.
+    /// State of each part of `map`, by position.
+    // INVARIANT: Has the same length as `map.parts`.
+    pub states: Vec<ShardState>,
+    /// Time at which it started.
+    pub started_at: Time,
+    /// Whether it was restarted at a newer snapshot.
     pub restarted: bool,
-    /// Whether a sub-request that failed may have run.
-    pub reached: bool,
-    /// When the last caller's answer is put together, complete or not.
+    /// Whether a failed sub-request may have run, or one had run before a restart.
+    pub may_have_run: bool,
+    /// The latest deadline among its callers, when it is answered even if incomplete.
     pub deadline: Time,
-    /// What it has in common with other attempts of the same query.
+    /// Hash of its content, equal for all attempts of the same query.
     pub fingerprint: Fingerprint,
-    /// Shards that wait until it is known what the query does to servers, by position.
-    pub held: Vec<usize>,
-    /// The shard that finds out.
+    /// Shards, by position, that are sent only after the canary got a reply.
+    pub deferred: Vec<usize>,
+    /// Position of the shard that is sent first to test whether the query ends servers.
     pub canary: Option<usize>,
-    /// Whether it was let in to find out, though it is suspect or quarantined.
-    pub trial: bool,
+    /// Whether it was admitted as a canary although it is suspect or quarantined.
+    pub on_trial: bool,
 }
 
 impl Query {
-    /// Starts a query of which no shard has been asked.
-    pub fn new(ask: SearchRequest, map: Map, now: Time, deadline: Time) -> Self {
+    /// Creates a query that no sub-request was sent for.
+    pub fn new(search: SearchRequest, map: Map, now: Time, deadline: Time) -> Self {
         Self {
-            fingerprint: Fingerprint::of("POST", &ask.service, "/v1/search", &ask.body),
-            held: Vec::new(),
+            fingerprint: Fingerprint::of("POST", &search.service, "/v1/search", &search.body),
+            deferred: Vec::new(),
             canary: None,
-            trial: false,
-            ask,
+            on_trial: false,
+            search,
             rank: u8::MAX,
             members: BTreeSet::new(),
-            states: blank(&map),
+            states: initial_states(&map),
             map,
-            since: now,
+            started_at: now,
             restarted: false,
-            reached: false,
+            may_have_run: false,
             deadline,
         }
     }
 
-    /// Starts anew at another snapshot; nothing of the replies so far is kept.
+    /// Resets the query to another snapshot, and discards the replies so far.
     pub fn restart(&mut self, map: Map) {
-        self.reached |= self.ran();
+        self.may_have_run |= self.has_reply();
         self.restarted = true;
-        self.held.clear();
+        self.deferred.clear();
         self.canary = None;
-        self.states = blank(&map);
+        self.states = initial_states(&map);
         self.map = map;
     }
 
-    /// Gives a shard up.
-    pub fn give_up(&mut self, position: usize, reason: Reason) {
-        self.states[position] = State::Missing(reason);
+    /// Marks a shard as missing.
+    pub fn mark_missing(&mut self, position: usize, reason: Reason) {
+        self.states[position] = ShardState::Missing(reason);
     }
 
-    /// Whether a backend server has run a part of it at the present snapshot.
-    pub fn ran(&self) -> bool {
+    /// Whether a backend server has replied at the current snapshot.
+    pub fn has_reply(&self) -> bool {
         let mut states = self.states.iter();
-        states.any(|state| matches!(state, State::Answered(_)))
+        states.any(|state| matches!(state, ShardState::Answered(_)))
     }
 
-    /// What is known of whether any backend server ran a part of it.
+    /// Whether any backend server ran a part of it, as far as known.
     pub fn outcome(&self) -> Outcome {
-        match (self.ran(), self.reached || !self.is_settled()) {
+        match (self.has_reply(), self.may_have_run || !self.is_settled()) {
             (true, _) => Outcome::Done,
             (false, true) => Outcome::Unknown,
             (false, false) => Outcome::NotRun,
         }
     }
 
-    /// Whether no shard's reply is awaited.
+    /// Whether every shard has replied or is missing.
     pub fn is_settled(&self) -> bool {
         !self
             .states
             .iter()
-            .any(|state| matches!(state, State::Pending { .. }))
+            .any(|state| matches!(state, ShardState::Pending { .. }))
     }
 
-    /// Whether a shard is given up.
-    pub fn has_hole(&self) -> bool {
+    /// Whether a shard is missing.
+    pub fn has_missing_shard(&self) -> bool {
         let mut states = self.states.iter();
-        states.any(|state| matches!(state, State::Missing(_)))
+        states.any(|state| matches!(state, ShardState::Missing(_)))
     }
 
-    /// Puts an answer of up to `limit` hits together; a shard that is still awaited has missed
-    /// the deadline.
+    /// Merges the replies into an answer of up to `limit` hits.
+    ///
+    /// A shard that is still pending counts as one that missed the deadline.
     pub fn answer(&self, limit: usize) -> Answer {
         let mut coverage = Coverage {
             shards: self.map.parts.len() as u32,
@@ -137,14 +139,14 @@
         let mut lists = Vec::with_capacity(self.states.len());
         for (part, state) in self.map.parts.iter().zip(&self.states) {
             let reason = match state {
-                State::Answered(hits) => {
+                ShardState::Answered(hits) => {
                     coverage.answered += 1;
                     coverage.covered += part.weight;
                     lists.push(hits.clone());
                     continue;
                 }
-                State::Pending { .. } => Reason::Deadline,
-                State::Missing(reason) => *reason,
+                ShardState::Pending { .. } => Reason::Deadline,
+                ShardState::Missing(reason) => *reason,
             };
             coverage.missing.push(Missing {
                 shard: part.shard,
@@ -160,8 +162,11 @@
     }
 }
 
-/// The states of shards none of which was asked.
-fn blank(map: &Map) -> Vec<State> {
-    let states = map.parts.iter().map(|_| State::Missing(Reason::NoReplica));
+/// The states of all shards before any sub-request is sent.
+fn initial_states(map: &Map) -> Vec<ShardState> {
+    let states = map
+        .parts
+        .iter()
+        .map(|_| ShardState::Missing(Reason::NoReplica));
     states.collect()
 }
--- a/crates/lentillift-entry/tests/bench/mod.rs
+++ b/crates/lentillift-entry/tests/bench/mod.rs
@@ -113,7 +113,7 @@
         let near = |n: usize| domain(n % setup.domains);
         let entries = (0..setup.hosts).map(|n| {
             Entry::new(StdRng::seed_from_u64(rng.random()))
-                .keeping(0)
+                .with_cache_bytes(0)
                 .with_domain(near(n))
         });
         let entries = entries.collect();
--- a/crates/lentillift-entry/tests/invariants.rs
+++ b/crates/lentillift-entry/tests/invariants.rs
@@ -70,7 +70,7 @@
             ..Values::default()
         };
         let hosts = (0..3).map(|n| format!("h{n}").into()).collect();
-        let mut entry = Entry::new(StdRng::seed_from_u64(4)).keeping(0);
+        let mut entry = Entry::new(StdRng::seed_from_u64(4)).with_cache_bytes(0);
         entry.handle(Time::ZERO, Event::View(Arc::new(View::new(values, hosts))));
         Self {
             entry,
