--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Time of each decision at two sizes of the fleet, to see what grows.
+//! Time of each decision at two sizes of the fleet, to show what grows with it.
 
 use criterion::Criterion;
 use lentillift_core::id;
@@ -32,7 +32,7 @@
 #[allow(dead_code, unreachable_pub)]
 mod setup;
 
-/// Shards with two backend servers each, and hosts: as today, and at the size aimed for.
+/// Shards, each with two backend servers, and hosts: the current and the target size.
 const SIZES: [(u32, usize); 2] = [(68, 9), (2300, 760)];
 
 const NOW: Time = Duration::from_secs(100);
@@ -163,7 +163,7 @@
     }
 }
 
-/// An owner of all backend servers, which is more than any will have.
+/// One owner of all backend servers, which is more than any owner has in a real fleet.
 fn owner(c: &mut Criterion) {
     for (shards, hosts) in SIZES {
         let mut owner = Owner::new();
@@ -203,7 +203,7 @@
 fn entry(c: &mut Criterion) {
     for (shards, hosts) in SIZES {
         let mut entry = Entry::new(StdRng::seed_from_u64(1)).with_cache_bytes(0);
-        // The query itself touches 68 shards at either size.
+        // The query itself goes to 68 shards at either size.
         let whole = view(shards, hosts);
         let mut values = (*whole.values).clone();
         let placement = values.placements.get_mut(setup::SERVICE);
--- a/crates/lentillift-entry/examples/cache.rs
+++ b/crates/lentillift-entry/examples/cache.rs
@@ -1,8 +1,8 @@
-//! Whether keeping answers pays, beside sharing the run of identical queries under way.
+//! Compares coalescing of identical queries in flight with and without an answer cache.
 //!
-//! Nine entries with the real decisions serve queries whose popularity follows Zipf's law, under
-//! virtual time, over 68 shards of two replicas with two slots each. Snapshots change at a steady
-//! pace. Prints a line for each load, pace and way.
+//! Nine real entries serve queries whose popularity follows Zipf's law, in virtual time, over 68
+//! shards of two replicas with two slots each. Snapshots change at a fixed interval. Prints a line
+//! for each load, interval and mode: neither, shared (coalescing only) and kept (with the cache).
 
 use lentillift_core::hit::Hit;
 use lentillift_core::id;
@@ -32,24 +32,24 @@
 const ENTRIES: usize = 9;
 const SHARDS: usize = 68;
 const SLOTS: u32 = 2;
-/// Mean time of a sub-request; one in a hundred takes ten times as long.
-const RUN: Duration = Duration::from_millis(2);
+/// Mean service time of a sub-request; one in a hundred takes ten times as long.
+const SERVICE_TIME: Duration = Duration::from_millis(2);
 const ALLOWANCE: Duration = Duration::from_millis(130);
-/// Different queries that are asked.
+/// Number of distinct queries.
 const QUERIES: usize = 100_000;
-/// Bytes of one hit, ten of which are in an answer.
-const HIT: usize = 300;
-const SPAN: Duration = Duration::from_secs(20);
+/// Size of one hit, in bytes; an answer has ten.
+const HIT_BYTES: usize = 300;
+const DURATION: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Mode {
     Neither,
     Shared,
     Kept,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum SimEvent {
     Arrive,
     Change,
     Done(usize, usize, id::Sub),
@@ -64,18 +64,18 @@
 
 #[derive(Debug, Default)]
 struct Count {
-    asked: u64,
+    offered: u64,
     refused: u64,
-    holed: u64,
-    kept: u64,
+    partial: u64,
+    cache_hits: u64,
     subs: u64,
     latencies: Vec<Duration>,
 }
 
 struct World {
-    way: Way,
+    mode: Mode,
     now: Time,
-    due: BinaryHeap<Reverse<(Time, u64, Due)>>,
+    events: BinaryHeap<Reverse<(Time, u64, SimEvent)>>,
     next: u64,
     entries: Vec<Entry<StdRng>>,
     servers: Vec<Server>,
@@ -122,14 +122,14 @@
 }
 
 impl World {
-    fn new(way: Way, skew: f64) -> Self {
-        let most = if way == Way::Kept {
+    fn new(mode: Mode, skew: f64) -> Self {
+        let max_bytes = if mode == Mode::Kept {
             DEFAULT_MAX_BYTES
         } else {
             0
         };
         let entries = (0..ENTRIES as u64)
-            .map(|n| Entry::new(StdRng::seed_from_u64(n)).with_cache_bytes(most));
+            .map(|n| Entry::new(StdRng::seed_from_u64(n)).with_cache_bytes(max_bytes));
         let mut sum = 0.0;
         let weights = (1..=QUERIES).map(|rank| {
             sum += (rank as f64).powf(-skew);
@@ -137,9 +137,9 @@
         });
         let zipf = weights.collect();
         let mut world = Self {
-            way,
+            mode,
             now: Time::ZERO,
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             next: 0,
             entries: entries.collect(),
             servers: (0..2 * SHARDS).map(|_| Server::default()).collect(),
@@ -150,20 +150,21 @@
             rng: StdRng::seed_from_u64(6),
             count: Count::default(),
         };
-        world.change();
+        world.publish_snapshot();
         world
     }
 
-    fn push(&mut self, after: Duration, due: Due) {
+    fn push(&mut self, after: Duration, event: SimEvent) {
         self.next += 1;
-        self.due.push(Reverse((self.now + after, self.next, due)));
+        self.events
+            .push(Reverse((self.now + after, self.next, event)));
     }
 
-    fn change(&mut self) {
+    fn publish_snapshot(&mut self) {
         self.snapshot += 1;
-        let view = view(self.snapshot, self.way != Way::Neither);
+        let view = view(self.snapshot, self.mode != Mode::Neither);
         for entry in 0..ENTRIES {
-            self.tell(entry, Event::View(view.clone()));
+            self.handle(entry, Event::View(view.clone()));
         }
     }
 
@@ -172,7 +173,7 @@
         let at = self.rng.random_range(0.0..total);
         let query = self.zipf.partition_point(|sum| *sum < at);
         let entry = self.rng.random_range(0..ENTRIES);
-        self.count.asked += 1;
+        self.count.offered += 1;
         self.next += 1;
         let request = self.next;
         self.waiting.insert((entry, request), self.now);
@@ -184,10 +185,10 @@
             least_coverage: 0.0,
             body: query.to_string().into_bytes().into(),
         };
-        self.tell(entry, Event::Ask { request, ask });
+        self.handle(entry, Event::Ask { request, ask });
     }
 
-    fn tell(&mut self, entry: usize, event: Event) {
+    fn handle(&mut self, entry: usize, event: Event) {
         for effect in self.entries[entry].handle(self.now, event) {
             match effect {
                 Effect::Send { sub, .. } => {
@@ -195,7 +196,7 @@
                     let server: usize = sub.backend.parse().expect("a number");
                     let until = self.now + sub.allowance;
                     self.servers[server].queue.push_back((entry, sub.id, until));
-                    self.pump(server);
+                    self.start_queued(server);
                 }
                 Effect::Cancel { id, .. } => {
                     self.cancelled.insert((entry, id));
@@ -203,8 +204,8 @@
                 Effect::Answer { request, answer } => {
                     let since = self.waiting.remove(&(entry, request)).expect("asked");
                     self.count.latencies.push(self.now - since);
-                    self.count.kept += u64::from(since == self.now);
-                    self.count.holed += u64::from(!answer.coverage.is_full());
+                    self.count.cache_hits += u64::from(since == self.now);
+                    self.count.partial += u64::from(!answer.coverage.is_full());
                 }
                 Effect::Refuse { request, .. } => {
                     self.waiting.remove(&(entry, request));
@@ -214,20 +215,20 @@
         }
         if let Some(wake) = self.entries[entry].next_wake() {
             let after = wake.saturating_sub(self.now);
-            self.push(after, Due::Tick(entry));
+            self.push(after, SimEvent::Tick(entry));
         }
     }
 
-    fn pump(&mut self, server: usize) {
+    fn start_queued(&mut self, server: usize) {
         while self.servers[server].running < SLOTS
             && let Some((entry, id, until)) = self.servers[server].queue.pop_front()
         {
             if self.cancelled.remove(&(entry, id)) {
                 continue;
             }
-            if until < self.now + RUN {
+            if until < self.now + SERVICE_TIME {
                 let result = sub::Result::not_run(Failure::Refused);
-                self.tell(
+                self.handle(
                     entry,
                     Event::Reply {
                         id,
@@ -239,14 +240,14 @@
             }
             self.servers[server].running += 1;
             let slow = if self.rng.random_bool(0.01) { 10 } else { 1 };
-            let run = RUN.mul_f64(slow as f64 * self.rng.random_range(0.5..1.5));
-            self.push(run, Due::Done(server, entry, id));
+            let run = SERVICE_TIME.mul_f64(slow as f64 * self.rng.random_range(0.5..1.5));
+            self.push(run, SimEvent::Done(server, entry, id));
         }
     }
 
     fn done(&mut self, server: usize, entry: usize, id: id::Sub) {
         self.servers[server].running -= 1;
-        self.pump(server);
+        self.start_queued(server);
         self.cancelled.remove(&(entry, id));
         let queued = self.servers[server].queue.len() as u32;
         let load = Load {
@@ -254,44 +255,44 @@
             running: self.servers[server].running,
             limit: SLOTS,
             cold: false,
-            wait: RUN * queued / SLOTS,
-            run: RUN,
+            wait: SERVICE_TIME * queued / SLOTS,
+            run: SERVICE_TIME,
         };
         let hit = Hit {
             id: String::new(),
             score: 1.0,
-            json: "x".repeat(HIT),
+            json: "x".repeat(HIT_BYTES),
         };
-        // The merge keeps ten of 68 lists of one.
+        // One hit per shard: the merge keeps ten of 68.
         let result = sub::Result::Hits(vec![hit]);
         let load = Some(load);
-        self.tell(entry, Event::Reply { id, result, load });
+        self.handle(entry, Event::Reply { id, result, load });
     }
 
-    fn run(&mut self, rate: f64, pace: Duration) {
-        self.push(Duration::ZERO, Due::Arrive);
-        self.push(pace, Due::Change);
-        while let Some(Reverse((at, _, due))) = self.due.pop()
-            && at < SPAN
+    fn run(&mut self, rate: f64, snapshot_interval: Duration) {
+        self.push(Duration::ZERO, SimEvent::Arrive);
+        self.push(snapshot_interval, SimEvent::Change);
+        while let Some(Reverse((at, _, event))) = self.events.pop()
+            && at < DURATION
         {
             self.now = at;
-            match due {
-                Due::Arrive => {
+            match event {
+                SimEvent::Arrive => {
                     self.arrive();
                     let gap = -self.rng.random_range(f64::EPSILON..1.0).ln() / rate;
-                    self.push(Duration::from_secs_f64(gap), Due::Arrive);
+                    self.push(Duration::from_secs_f64(gap), SimEvent::Arrive);
                 }
-                Due::Change => {
-                    self.change();
-                    self.push(pace, Due::Change);
+                SimEvent::Change => {
+                    self.publish_snapshot();
+                    self.push(snapshot_interval, SimEvent::Change);
                 }
-                Due::Done(server, entry, id) => self.done(server, entry, id),
-                Due::Tick(entry) => {
+                SimEvent::Done(server, entry, id) => self.done(server, entry, id),
+                SimEvent::Tick(entry) => {
                     if self.entries[entry]
                         .next_wake()
                         .is_some_and(|wake| wake <= self.now)
                     {
-                        self.tell(entry, Event::Tick);
+                        self.handle(entry, Event::Tick);
                     }
                 }
             }
@@ -305,15 +306,15 @@
             let at = (count.latencies.len() as f64 * q) as usize;
             count.latencies[at.min(count.latencies.len() - 1)].as_secs_f64() * 1e3
         };
-        let share = |part: u64| 100.0 * part as f64 / count.asked as f64;
+        let percent = |part: u64| 100.0 * part as f64 / count.offered as f64;
         format!(
             "{:8?} asked {:6} refused {:5.1}% holed {:5.2}% kept {:5.1}% subs/query {:5.1} p50 {:6.2} ms p99 {:6.2} ms",
-            self.way,
-            count.asked,
-            share(count.refused),
-            share(count.holed),
-            share(count.kept),
-            count.subs as f64 / count.asked as f64,
+            self.mode,
+            count.offered,
+            percent(count.refused),
+            percent(count.partial),
+            percent(count.cache_hits),
+            count.subs as f64 / count.offered as f64,
             quantile(0.5),
             quantile(0.99),
         )
@@ -321,13 +322,14 @@
 }
 
 fn main() {
-    // Two replicas of two slots bear 2000 queries a second, less for the slow ones.
+    // The capacity is 2000 queries per second, with two replicas of two slots per shard, and less
+    // with the slow sub-requests.
     for (skew, rate) in [(0.8, 60.0), (0.8, 1600.0), (1.0, 1600.0)] {
-        for pace in [2, 10] {
-            println!("skew {skew}, {rate} queries/s, a new snapshot every {pace} s");
-            for way in [Way::Neither, Way::Shared, Way::Kept] {
-                let mut world = World::new(way, skew);
-                world.run(rate, Duration::from_secs(pace));
+        for snapshot_interval in [2, 10] {
+            println!("skew {skew}, {rate} queries/s, a new snapshot every {snapshot_interval} s");
+            for mode in [Mode::Neither, Mode::Shared, Mode::Kept] {
+                let mut world = World::new(mode, skew);
+                world.run(rate, Duration::from_secs(snapshot_interval));
                 println!("  {}", world.line());
             }
         }
--- a/crates/lentillift-entry/examples/patterns.rs
+++ b/crates/lentillift-entry/examples/patterns.rs
@@ -1,4 +1,7 @@
-//! Load patterns in virtual time, each with its module on and off, judged by what callers receive.
+//! Runs the load patterns in virtual time, each with its mechanism on and off.
+//!
+//! Prints what callers receive. Arguments: a part of the name of the patterns to run, and a factor
+//! for all times.
 
 #[path = "../tests/bench/mod.rs"]
 mod bench;
@@ -6,17 +9,17 @@
 use bench::table;
 
 fn main() {
-    let only = std::env::args().nth(1);
-    let pace = std::env::args().nth(2).and_then(|pace| pace.parse().ok());
+    let filter = std::env::args().nth(1);
+    let time_scale = std::env::args().nth(2).and_then(|arg| arg.parse().ok());
     println!(
         "pattern | policy | callers | asked | whole | partial | refused | late | p50 ms | p99 ms | slowest refusal ms"
     );
     for pattern in table::ALL {
-        if only
+        if filter
             .as_ref()
-            .is_none_or(|only| pattern.name.contains(only.as_str()))
+            .is_none_or(|filter| pattern.name.contains(filter.as_str()))
         {
-            for line in (pattern.run)(pace.unwrap_or(1.0)) {
+            for line in (pattern.run)(time_scale.unwrap_or(1.0)) {
                 println!("{} | {line}", pattern.name);
             }
         }
--- a/crates/lentillift-entry/examples/sizes.rs
+++ b/crates/lentillift-entry/examples/sizes.rs
@@ -1,4 +1,4 @@
-//! Prints the bytes that the decisions' state takes, as `docs/design/policy.md` quotes them.
+//! Prints the sizes of the state of decisions, in bytes, which `docs/design/policy.md` quotes.
 
 use lentillift_owner::server::Server;
 use lentillift_policy::admission::Admission;
--- a/crates/lentillift-entry/tests/bench/backend.rs
+++ b/crates/lentillift-entry/tests/bench/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that takes its time.
+//! A fake backend server with service times, slots, cold starts and faults.
 
 use super::setup::Setup;
 use lentillift_core::hit::Hit;
@@ -12,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How many times as long a request takes whose body starts with [`LONG`].
+/// Factor on the service time of a request whose body starts with [`LONG`].
 const LONG_FACTOR: f64 = 20.0;
 
-/// Start of the body of a long request.
+/// Prefix of the body of a long request.
 pub const LONG: &str = "long";
 
 /// The body that many queries share.
 pub const SAME: &str = "same";
 
-/// How many times as long a request takes at a cold server.
+/// Factor on the service time at a cold server.
 const COLD_FACTOR: f64 = 2.0;
 
-/// Number of a request at all owners.
+/// Identifies a request among those of all owners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Run {
     pub owner: usize,
@@ -35,25 +35,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     Done,
-    /// Its client has given it up; the server goes on.
+    /// The deadline of its client passed; the server continues to run it.
     Late,
     Cancelled,
-    /// The server fell over.
+    /// The server crashed.
     Broken,
 }
 
-/// What comes of a request that was started.
+/// Result of starting a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Start {
+    /// It ends after this time.
     Runs(Duration),
     Hangs,
-    /// The server was cold and had too much; these are lost.
-    Falls(Vec<Run>),
+    /// The server crashed because it had more than one request while cold; these are lost.
+    Crashes(Vec<Run>),
 }
 
-/// What a server reports, whatever is true.
+/// What a server reports about itself, true or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Says {
+pub enum ReportMode {
     Truth,
     Idle,
     Full,
@@ -65,39 +66,39 @@
 #[derive(Debug, Clone, Copy)]
 struct Running {
     shard: u32,
-    /// Whether it has the body that many queries share, and is no hedge.
+    /// Whether it has the body [`SAME`] and is no hedge.
     same: bool,
-    /// Whether its client has given it up.
+    /// Whether the deadline of its client has passed.
     late: bool,
 }
 
-/// A backend server.
+/// A fake backend server.
 #[derive(Debug, Clone)]
-pub struct Fake {
+pub struct FakeServer {
     slots: u32,
     service_time: Duration,
-    /// How many times as long each request takes.
+    /// Factor on the service time of every request.
     pub slow: f64,
-    /// Share of requests that take ten times as long.
+    /// Share of requests that take ten times as long, from 0 to 1.
     pub stragglers: f64,
     pub hung: bool,
-    /// Requests that it still has to serve before it is warm.
+    /// Number of requests that it has to serve until it is warm.
     pub cold: u32,
-    /// Number of its start, if it tells it.
+    /// Number of its current start, if it reports one.
     pub incarnation: Option<u64>,
-    pub says: Says,
+    pub reports: ReportMode,
     running: BTreeMap<Run, Running>,
-    /// Requests that were started.
+    /// Number of requests that were started.
     pub runs: u64,
-    /// Most requests at a time.
+    /// Maximum number of concurrent requests.
     pub peak: usize,
-    /// Most requests at a time while cold.
+    /// Maximum number of concurrent requests while cold.
     pub cold_peak: usize,
-    /// Times that it fell over.
-    pub falls: u64,
+    /// Number of crashes.
+    pub crashes: u64,
 }
 
-impl Fake {
+impl FakeServer {
     pub fn new(setup: &Setup) -> Self {
         Self {
             slots: setup.slots,
@@ -107,16 +108,16 @@
             hung: false,
             cold: 0,
             incarnation: None,
-            says: Says::Truth,
+            reports: ReportMode::Truth,
             running: BTreeMap::new(),
             runs: 0,
             peak: 0,
             cold_peak: 0,
-            falls: 0,
+            crashes: 0,
         }
     }
 
-    /// Requests with the body that many queries share, hedges aside.
+    /// Number of running requests with the body [`SAME`], hedges not counted.
     pub fn same(&self) -> usize {
         self.running.values().filter(|running| running.same).count()
     }
@@ -142,8 +143,8 @@
             self.cold_peak = self.cold_peak.max(self.running.len());
             factor *= COLD_FACTOR;
             if self.running.len() > 1 {
-                self.falls += 1;
-                return Start::Falls(self.running.keys().copied().collect());
+                self.crashes += 1;
+                return Start::Crashes(self.running.keys().copied().collect());
             }
         }
         if rng.random_bool(self.stragglers) {
@@ -152,9 +153,9 @@
         if sub.body.starts_with(LONG.as_bytes()) {
             factor *= LONG_FACTOR;
         }
-        // More than its slots make all of them slower.
-        let crowd = self.running.len() as f64 / f64::from(self.slots);
-        Start::Runs(self.service_time.mul_f64(factor * crowd.max(1.0)))
+        // More requests than slots slow each of them down.
+        let contention = self.running.len() as f64 / f64::from(self.slots);
+        Start::Runs(self.service_time.mul_f64(factor * contention.max(1.0)))
     }
 
     pub fn end(&mut self, run: Run, end: End) -> Option<(sub::Result, Report)> {
@@ -188,20 +189,20 @@
     }
 
     fn report(&self) -> Report {
-        let says = |load, draining, cold| Report {
+        let report = |load, draining, cold| Report {
             load: Some(load),
             draining,
             cold,
             incarnation: self.incarnation,
         };
         let load = self.running.len() as f64 / f64::from(self.slots);
-        match self.says {
-            Says::Truth => says(load, false, self.cold > 0),
-            Says::Idle => says(0.0, false, false),
-            Says::Full => says(1.0, false, false),
-            Says::Cold => says(load, false, true),
-            Says::Draining => says(load, true, false),
-            Says::Nothing => Report::default(),
+        match self.reports {
+            ReportMode::Truth => report(load, false, self.cold > 0),
+            ReportMode::Idle => report(0.0, false, false),
+            ReportMode::Full => report(1.0, false, false),
+            ReportMode::Cold => report(load, false, true),
+            ReportMode::Draining => report(load, true, false),
+            ReportMode::Nothing => Report::default(),
         }
     }
 }
--- a/crates/lentillift-entry/tests/bench/load.rs
+++ b/crates/lentillift-entry/tests/bench/load.rs
@@ -1,4 +1,4 @@
-//! Streams of queries that arrive whatever becomes of the ones before.
+//! Open-loop streams of queries: arrivals do not depend on the answers to earlier queries.
 
 use super::backend::LONG;
 use super::backend::SAME;
@@ -9,24 +9,24 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// What a stream asks.
+/// The bodies of the queries of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Body {
-    /// Something else each time.
+    /// A different body each time.
     Fresh,
-    /// Always the same.
+    /// The same body each time.
     Same,
-    /// Something else each time, that takes long.
+    /// A different body each time, of a query that takes long.
     Long,
 }
 
-/// A stream of queries with a fixed rate and exponential gaps.
+/// A Poisson stream of queries.
 #[derive(Debug, Clone)]
 pub struct Stream {
-    /// Name under which results are counted.
+    /// Label under which results are counted.
     pub label: &'static str,
     pub caller: &'static str,
-    /// Queries a second.
+    /// Queries per second.
     pub rate: f64,
     pub from: Time,
     pub until: Time,
@@ -47,7 +47,8 @@
         }
     }
 
-    pub fn ask(&self, service: &str, request: id::Request) -> SearchRequest {
+    /// The request number `request` of the stream.
+    pub fn request(&self, service: &str, request: id::Request) -> SearchRequest {
         let body = match self.body {
             Body::Fresh => format!("{request}"),
             Body::Same => SAME.to_owned(),
@@ -63,6 +64,7 @@
         }
     }
 
+    /// A random time to the next arrival.
     pub fn gap(&self, rng: &mut StdRng) -> Duration {
         let uniform: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
         Duration::from_secs_f64(-uniform.ln() / self.rate)
--- a/crates/lentillift-entry/tests/bench/mod.rs
+++ b/crates/lentillift-entry/tests/bench/mod.rs
@@ -1,7 +1,7 @@
-//! Real entries and owners, wired by an event queue in virtual time to fake backend servers.
+//! Simulation of real entries and owners with fake backend servers, in virtual time.
 //!
-//! Nothing here decides anything: it delivers what entries and owners say, at a fixed delay, and
-//! notes what callers receive. All randomness comes from one fixed seed.
+//! An event queue delivers the messages of entries and owners after a fixed delay and records what
+//! callers receive; it takes no decisions. All randomness comes from one fixed seed.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -13,7 +13,7 @@
 pub mod table;
 
 use backend::End;
-use backend::Fake;
+use backend::FakeServer;
 use backend::Run;
 use backend::Start;
 use lentillift_core::id;
@@ -31,7 +31,7 @@
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use report::Caught;
+use report::Results;
 use setup::SERVICE;
 use setup::Setup;
 use setup::config;
@@ -43,16 +43,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One way between two hosts.
-const HOP: Duration = Duration::from_micros(300);
+/// One-way latency between two hosts.
+const HOST_LATENCY: Duration = Duration::from_micros(300);
 
-/// What happens at a point in time.
+/// An event in the queue.
 enum Event {
     Entry(usize, entry::Event),
     Owner(usize, owner::Event),
-    /// A request at a fake backend server ends.
+    /// A request ends at a fake backend server.
     End(id::Backend, Run, End),
-    /// The next query of a stream.
+    /// The next query of the stream with this index arrives.
     Arrive(usize),
     Fault(Box<dyn FnOnce(&mut World)>),
 }
@@ -90,16 +90,16 @@
     number: u64,
     entries: Vec<Entry<StdRng>>,
     owners: Vec<Owner>,
-    /// When each entry and owner last asked to be woken.
+    /// The next tick of each entry (true) and owner, by host.
     wakes: BTreeMap<(bool, usize), Time>,
-    pub backends: BTreeMap<id::Backend, Fake>,
+    pub backends: BTreeMap<id::Backend, FakeServer>,
     streams: Vec<Stream>,
     values: Values,
     hosts: Vec<id::Host>,
-    pub caught: Caught,
+    pub results: Results,
     pub counts: BTreeMap<&'static str, u64>,
     next_request: id::Request,
-    pub pace: f64,
+    pub time_scale: f64,
     rng: StdRng,
 }
 
@@ -108,13 +108,13 @@
         let mut rng = StdRng::seed_from_u64(setup.seed);
         let hosts: Vec<id::Host> = (0..setup.hosts).map(|n| format!("h{n}").into()).collect();
         let placement = placement(setup);
-        let fake = |name: &id::Backend| (name.clone(), Fake::new(setup));
+        let fake = |name: &id::Backend| (name.clone(), FakeServer::new(setup));
         let backends = placement.servers.keys().map(fake).collect();
-        let near = |n: usize| domain(n % setup.domains);
+        let domain_of = |n: usize| domain(n % setup.domains);
         let entries = (0..setup.hosts).map(|n| {
             Entry::new(StdRng::seed_from_u64(rng.random()))
                 .with_cache_bytes(0)
-                .with_domain(near(n))
+                .with_domain(domain_of(n))
         });
         let entries = entries.collect();
         let values = Values {
@@ -133,17 +133,17 @@
             streams: Vec::new(),
             values,
             hosts,
-            caught: Caught::default(),
+            results: Results::default(),
             counts: BTreeMap::new(),
             next_request: 0,
-            pace: setup.pace,
+            time_scale: setup.time_scale,
             rng,
         };
         world.publish(|_| {});
         world
     }
 
-    /// Changes the configuration and gives every process the new view.
+    /// Changes the configuration and delivers the new view to every process.
     pub fn publish(&mut self, change: impl FnOnce(&mut Config)) {
         let mut config = (**self.values.config.as_ref().expect("a configuration")).clone();
         change(&mut config);
@@ -173,8 +173,8 @@
     /// Adds a stream of queries.
     pub fn stream(&mut self, stream: Stream) {
         let stream = Stream {
-            from: stream.from.mul_f64(self.pace),
-            until: stream.until.mul_f64(self.pace),
+            from: stream.from.mul_f64(self.time_scale),
+            until: stream.until.mul_f64(self.time_scale),
             ..stream
         };
         let index = self.streams.len();
@@ -183,14 +183,14 @@
         self.push(from.saturating_sub(self.now), Event::Arrive(index));
     }
 
-    /// Makes something happen at a time.
+    /// Schedules a fault.
     pub fn at(&mut self, time: Time, fault: impl FnOnce(&mut World) + 'static) {
-        let after = time.mul_f64(self.pace).saturating_sub(self.now);
+        let after = time.mul_f64(self.time_scale).saturating_sub(self.now);
         self.push(after, Event::Fault(Box::new(fault)));
     }
 
     /// Changes how a backend server behaves.
-    pub fn set(&mut self, backend: &id::Backend, change: impl FnOnce(&mut Fake)) {
+    pub fn set(&mut self, backend: &id::Backend, change: impl FnOnce(&mut FakeServer)) {
         change(self.backends.get_mut(backend).expect("a backend server"));
     }
 
@@ -203,7 +203,7 @@
 
     /// Runs until `end`.
     pub fn run(&mut self, end: Time) {
-        let end = end.mul_f64(self.pace);
+        let end = end.mul_f64(self.time_scale);
         while let Some(Reverse(next)) = self.queue.peek()
             && next.at <= end
             && let Some(Reverse(next)) = self.queue.pop()
@@ -216,39 +216,39 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Entry(host, event) => self.enter(host, event),
-            Event::Owner(host, event) => self.own(host, event),
+            Event::Entry(host, event) => self.handle_entry_event(host, event),
+            Event::Owner(host, event) => self.handle_owner_event(host, event),
             Event::End(backend, run, end) => self.end(&backend, run, end),
             Event::Arrive(stream) => self.arrive(stream),
             Event::Fault(fault) => fault(self),
         }
     }
 
-    fn enter(&mut self, host: usize, event: entry::Event) {
+    fn handle_entry_event(&mut self, host: usize, event: entry::Event) {
         let effects = self.entries[host].handle(self.now, event);
         for effect in effects {
             match effect {
                 entry::Effect::Send { to, sub } => {
                     let from = self.hosts[host].clone();
-                    self.tell(host, &to, owner::Event::Sub { from, sub });
+                    self.send_to_owner(host, &to, owner::Event::Sub { from, sub });
                 }
                 entry::Effect::Cancel { to, id } => {
                     let from = self.hosts[host].clone();
-                    self.tell(host, &to, owner::Event::Cancel { from, id });
+                    self.send_to_owner(host, &to, owner::Event::Cancel { from, id });
                 }
                 entry::Effect::Answer { request, answer } => {
-                    self.caught.answer(self.now, request, &answer);
+                    self.results.answer(self.now, request, &answer);
                 }
                 entry::Effect::Refuse { request, refusal } => {
-                    self.caught.refuse(self.now, request, &refusal);
+                    self.results.refuse(self.now, request, &refusal);
                 }
             }
         }
         self.count(host);
-        self.wake(true, host, self.entries[host].next_wake());
+        self.schedule_tick(true, host, self.entries[host].next_wake());
     }
 
-    fn own(&mut self, host: usize, event: owner::Event) {
+    fn handle_owner_event(&mut self, host: usize, event: owner::Event) {
         let effects = self.owners[host].handle(self.now, event);
         for effect in effects {
             match effect {
@@ -275,13 +275,13 @@
                 } => {
                     let to_index = self.index(&to);
                     let event = entry::Event::Reply { id, result, load };
-                    self.push(self.hop(host, to_index), Event::Entry(to_index, event));
+                    self.push(self.latency(host, to_index), Event::Entry(to_index, event));
                 }
                 owner::Effect::Forward { .. } | owner::Effect::Note { .. } => {}
             }
         }
         self.count(host);
-        self.wake(false, host, self.owners[host].next_wake());
+        self.schedule_tick(false, host, self.owners[host].next_wake());
     }
 
     fn count(&mut self, host: usize) {
@@ -292,8 +292,8 @@
         }
     }
 
-    /// Delivers a tick when it is due; one that comes too often does no harm.
-    fn wake(&mut self, entry: bool, host: usize, wake: Option<Time>) {
+    /// Schedules a tick for the time it is due; superfluous ticks are harmless.
+    fn schedule_tick(&mut self, entry: bool, host: usize, wake: Option<Time>) {
         let Some(wake) = wake else {
             return;
         };
@@ -314,27 +314,27 @@
         at.expect("a host of the fleet")
     }
 
-    fn hop(&self, from: usize, to: usize) -> Duration {
+    fn latency(&self, from: usize, to: usize) -> Duration {
         match from == to {
             true => Duration::ZERO,
-            false => HOP,
+            false => HOST_LATENCY,
         }
     }
 
-    fn tell(&mut self, from: usize, to: &id::Host, event: owner::Event) {
+    fn send_to_owner(&mut self, from: usize, to: &id::Host, event: owner::Event) {
         let to = self.index(to);
-        self.push(self.hop(from, to), Event::Owner(to, event));
+        self.push(self.latency(from, to), Event::Owner(to, event));
     }
 
     fn dispatch(&mut self, run: Run, sub: &sub::Sub, left: Duration) {
-        self.caught.dispatched(left);
+        self.results.dispatched(left);
         let fake = self.backends.get_mut(&sub.backend).expect("known");
         let backend = sub.backend.clone();
         match fake.start(run, sub, &mut self.rng) {
             Start::Runs(time) => self.push(time, Event::End(backend.clone(), run, End::Done)),
             Start::Hangs => {}
-            Start::Falls(all) => {
-                for run in all {
+            Start::Crashes(lost) => {
+                for run in lost {
                     let event = Event::End(backend.clone(), run, End::Broken);
                     self.push(Duration::ZERO, event);
                 }
@@ -345,7 +345,7 @@
         let replicas = self.backends.iter();
         let replicas = replicas.filter(|(name, _)| name.split('-').next() == Some(shard));
         let same = replicas.map(|(_, fake)| fake.same()).sum();
-        self.caught.most_same = self.caught.most_same.max(same);
+        self.results.peak_same = self.results.peak_same.max(same);
     }
 
     fn end(&mut self, backend: &id::Backend, run: Run, end: End) {
@@ -368,11 +368,11 @@
         }
         self.next_request += 1;
         let request = self.next_request;
-        let ask = stream.ask(SERVICE, request);
+        let ask = stream.request(SERVICE, request);
         let gap = stream.gap(&mut self.rng);
         let label = stream.label;
         let host = self.rng.random_range(0..self.hosts.len());
-        self.caught.ask(self.now, request, label, &ask);
+        self.results.sent(self.now, request, label, &ask);
         self.push(gap, Event::Arrive(index));
         self.push(
             Duration::ZERO,
--- a/crates/lentillift-entry/tests/bench/patterns.rs
+++ b/crates/lentillift-entry/tests/bench/patterns.rs
@@ -1,7 +1,7 @@
 //! The load patterns.
 
 use super::World;
-use super::backend::Says;
+use super::backend::ReportMode;
 use super::load::Body;
 use super::load::Stream;
 use super::report::Summary;
@@ -11,18 +11,20 @@
 use lentillift_settings::policy::Policy;
 use std::time::Duration;
 
-/// The queries of `label` that were asked from `from` to `until`, in seconds.
+/// Results of the queries of `label` that were sent from `from` to `until`, in unscaled seconds.
 pub fn summary(world: &World, label: &str, from: f64, until: f64) -> Summary {
-    let pace = world.pace;
-    world.caught.summary(label, from * pace, until * pace)
+    let time_scale = world.time_scale;
+    world
+        .results
+        .summary(label, from * time_scale, until * time_scale)
 }
 
-/// Four shards with two replicas of two slots bear 800 queries a second. One fifth of that is
-/// asked, and ten times as much for two seconds.
-pub fn burst(policy: Policy, pace: f64) -> World {
+/// The capacity is 800 queries per second: four shards with two replicas of two slots. The load is
+/// one fifth of that, and ten times as much for two seconds.
+pub fn burst(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     world.stream(Stream::new("reader", 160.0, 0.0, 8.0));
@@ -31,21 +33,23 @@
     world
 }
 
-/// Three callers with the same weight; the third asks for twenty times as much as the others.
-pub fn hot_caller(policy: Policy, pace: f64) -> World {
+/// Three callers with the same weight; the third sends twenty times as many queries as each of the
+/// others.
+pub fn hot_caller(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![("a", "name", 1), ("b", "name", 1), ("c", "name", 1)],
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
-    others(&mut world);
+    two_callers(&mut world);
     world.stream(Stream::new("c", 1000.0, 5.0, 40.0));
     world.run(Duration::from_secs(41));
     world
 }
 
-fn others(world: &mut World) {
+/// Callers `a` and `b` at a constant load; label `before` marks their first five seconds.
+fn two_callers(world: &mut World) {
     for (label, from, until) in [("before", 0.0, 5.0), ("a", 5.0, 40.0)] {
         world.stream(Stream {
             label,
@@ -60,24 +64,24 @@
     }
 }
 
-/// The same two callers without the third.
-pub fn without_hot_caller(policy: Policy, pace: f64) -> World {
+/// The first two callers of [`hot_caller`] without the third.
+pub fn without_hot_caller(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![("a", "name", 1), ("b", "name", 1), ("c", "name", 1)],
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
-    others(&mut world);
+    two_callers(&mut world);
     world.run(Duration::from_secs(41));
     world
 }
 
-/// One body is asked for fifty times as often as all others together.
-pub fn hot_key(policy: Policy, pace: f64) -> World {
+/// One body is sent fifty times as often as all others together.
+pub fn hot_key(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     world.stream(Stream::new("reader", 40.0, 0.0, 10.0));
@@ -90,20 +94,21 @@
     world
 }
 
-fn wide(policy: Policy, pace: f64) -> World {
+/// 68 shards on six hosts.
+fn wide(policy: Policy, time_scale: f64) -> World {
     World::new(&Setup {
         shards: 68,
         hosts: 6,
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     })
 }
 
 /// 68 shards at a quarter of their capacity. After ten seconds one server takes ten times as long,
-/// after twenty it hangs.
-pub fn slow_server(policy: Policy, pace: f64) -> World {
-    let mut world = wide(policy, pace);
+/// after twenty seconds it hangs.
+pub fn slow_server(policy: Policy, time_scale: f64) -> World {
+    let mut world = wide(policy, time_scale);
     for (label, from, until) in [
         ("warm", 0.0, 5.0),
         ("well", 5.0, 10.0),
@@ -126,8 +131,8 @@
 }
 
 /// One request in a hundred takes ten times as long.
-pub fn stragglers(policy: Policy, pace: f64) -> World {
-    let mut world = wide(policy, pace);
+pub fn stragglers(policy: Policy, time_scale: f64) -> World {
+    let mut world = wide(policy, time_scale);
     for fake in world.backends.values_mut() {
         fake.stragglers = 0.01;
     }
@@ -141,16 +146,16 @@
     world
 }
 
-/// One caller's requests take twenty times as long as those of the other, who asks ten times as
-/// often; before that the other is alone.
-pub fn long_jobs(policy: Policy, pace: f64) -> World {
+/// Requests of one caller take twenty times as long as those of the other, which sends ten times as
+/// many. At first the other one is alone.
+pub fn long_jobs(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![("reader", "name", 1), ("batch", "name", 1)],
         shards: 1,
         replicas: 2,
         queue_ms: 2000,
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     let allowance = Duration::from_secs(2);
@@ -170,13 +175,14 @@
     world
 }
 
-/// Four shards bear 1,600 sub-requests... of each replica pair; 800 queries a second in all. Name
-/// search asks for half of that and the archive for five halves.
-pub fn overload(policy: Policy, pace: f64) -> World {
+/// The capacity is 800 queries per second; one replica of each of the four shards runs 1,600
+/// sub-requests per second. Name search sends half of the capacity, the archive two and a half
+/// times as much.
+pub fn overload(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![("name", "name", 1), ("archive", "archive", 1)],
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     world.stream(Stream {
@@ -197,18 +203,18 @@
     world
 }
 
-/// A server restarts without notice under 70% load and needs a hundred requests to be warm; while
-/// it has more than one at a time it falls over. A second one follows, and one restarts again
-/// during its ramp.
-pub fn cold_return(policy: Policy, pace: f64) -> World {
+/// Servers of two shards restart without notice under 70% load; one of them restarts again during
+/// its ramp-up. A restarted server needs a hundred requests to warm up, and until then crashes if
+/// it has more than one at a time.
+pub fn cold_return(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     world.stream(Stream::new("reader", 560.0, 0.0, 30.0));
-    let chill = |at: f64, shard: u32| (Duration::from_secs_f64(at), shard);
-    for (at, shard) in [chill(10.0, 0), chill(10.0, 1), chill(10.3, 0)] {
+    let restart = |at: f64, shard: u32| (Duration::from_secs_f64(at), shard);
+    for (at, shard) in [restart(10.0, 0), restart(10.0, 1), restart(10.3, 0)] {
         world.at(at, move |w| {
             w.set(&backend(shard, 0), |b| {
                 b.cold = 100;
@@ -220,9 +226,9 @@
     world
 }
 
-/// Three replicas of each shard in three domains at 70% of the capacity; one domain is taken out,
-/// and comes back cold.
-pub fn domain_out(policy: Policy, pace: f64) -> World {
+/// Three replicas of each shard in three domains at 70% of the capacity. One domain is taken out of
+/// service and returns cold.
+pub fn domain_out(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![
             ("name", "name", 1),
@@ -231,7 +237,7 @@
         ],
         replicas: 3,
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     for (caller, rate) in [("name", 280.0), ("timetable", 280.0), ("archive", 280.0)] {
@@ -256,23 +262,23 @@
     world
 }
 
-/// One replica of each shard reports something else every ten seconds, whatever is true; at first
-/// that it is idle while it is slow. The load is a quarter of the capacity.
-pub fn false_reports(policy: Policy, pace: f64) -> World {
+/// After ten seconds of true reports, one replica of each shard reports another false state every
+/// ten seconds, the first of them "idle" while it is slow. The load is a quarter of the capacity.
+pub fn false_reports(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     let phases = [
-        ("truth", Says::Truth),
-        ("idle", Says::Idle),
-        ("full", Says::Full),
-        ("cold", Says::Cold),
-        ("draining", Says::Draining),
-        ("nothing", Says::Nothing),
+        ("truth", ReportMode::Truth),
+        ("idle", ReportMode::Idle),
+        ("full", ReportMode::Full),
+        ("cold", ReportMode::Cold),
+        ("draining", ReportMode::Draining),
+        ("nothing", ReportMode::Nothing),
     ];
-    for (number, (label, says)) in phases.into_iter().enumerate() {
+    for (number, (label, mode)) in phases.into_iter().enumerate() {
         let from = 10.0 * number as f64;
         world.stream(Stream {
             label,
@@ -281,8 +287,8 @@
         world.at(Duration::from_secs_f64(from), move |w| {
             for shard in 0..4 {
                 w.set(&backend(shard, 0), |b| {
-                    b.says = says;
-                    b.slow = if says == Says::Idle { 10.0 } else { 1.0 };
+                    b.reports = mode;
+                    b.slow = if mode == ReportMode::Idle { 10.0 } else { 1.0 };
                 });
             }
         });
@@ -291,26 +297,26 @@
     world
 }
 
-/// A server restarts under 70% load as in [`cold_return`], but tells of it thirty seconds later,
-/// when it has long been warm, and tells nothing of its new start.
-pub fn late_reports(policy: Policy, pace: f64) -> World {
+/// A server restarts under 70% load as in [`cold_return`], but reports its cold state thirty
+/// seconds later, when it has long been warm, and does not report a new incarnation.
+pub fn late_reports(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
-        pace,
+        time_scale,
         ..Setup::default()
     });
     world.stream(Stream::new("reader", 560.0, 0.0, 50.0));
     world.at(Duration::from_secs(10), |w| {
         w.set(&backend(0, 0), |b| {
             b.cold = 100;
-            b.says = Says::Idle;
+            b.reports = ReportMode::Idle;
         });
     });
     world.at(Duration::from_secs(40), |w| {
-        w.set(&backend(0, 0), |b| b.says = Says::Cold);
+        w.set(&backend(0, 0), |b| b.reports = ReportMode::Cold);
     });
     world.at(Duration::from_secs(41), |w| {
-        w.set(&backend(0, 0), |b| b.says = Says::Truth);
+        w.set(&backend(0, 0), |b| b.reports = ReportMode::Truth);
     });
     world.run(Duration::from_secs(51));
     world
--- a/crates/lentillift-entry/tests/bench/report.rs
+++ b/crates/lentillift-entry/tests/bench/report.rs
@@ -1,4 +1,4 @@
-//! What callers received.
+//! Record of what callers received.
 
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
@@ -9,76 +9,77 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a caller received.
+/// Kind of the answer to a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    Whole,
+    Complete,
     Partial,
     Refused,
 }
 
 /// A query that has ended.
 #[derive(Debug, Clone, Copy)]
-pub struct Ended {
+pub struct EndedQuery {
     pub label: &'static str,
-    pub asked: Time,
+    pub sent_at: Time,
     pub ended: Time,
     pub allowance: Duration,
     pub kind: Kind,
-    /// Whether a refusal said when to come back.
+    /// Whether a refusal stated when to retry.
     pub retry_after: bool,
 }
 
-/// All that callers received.
+/// Everything that callers received, with counters of violations.
 #[derive(Debug, Default)]
-pub struct Caught {
-    open: HashMap<id::Request, (Time, &'static str, Duration)>,
-    pub ended: Vec<Ended>,
-    /// Requests sent to backend servers.
+pub struct Results {
+    pending: HashMap<id::Request, (Time, &'static str, Duration)>,
+    pub ended: Vec<EndedQuery>,
+    /// Number of requests sent to backend servers.
     pub runs: u64,
-    /// Requests sent to backend servers with no time left.
+    /// Number of requests sent to backend servers without time left.
     pub sent_late: u64,
-    /// Most runs at a time of one shard for the body that many queries share, hedges aside.
-    pub most_same: usize,
-    /// Answers and refusals beyond the first for a query.
-    pub doubled: u64,
-    /// Answers whose hits are not those of the shards that they count as answered.
-    pub untrue: u64,
+    /// Maximum number of concurrent requests of one shard with the body that many queries share,
+    /// hedges not counted.
+    pub peak_same: usize,
+    /// Number of answers and refusals beyond the first for a query.
+    pub duplicates: u64,
+    /// Number of answers whose hits do not match the shards that they count as answered.
+    pub inconsistent: u64,
 }
 
-/// What the callers of one stream received.
+/// Summary of what the callers of one label received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
     pub offered: usize,
-    pub whole: usize,
+    pub complete: usize,
     pub partial: usize,
     pub refused: usize,
-    /// Answers after the caller's allowance.
+    /// Number of answers after the caller's allowance.
     pub late: usize,
     pub p50: Duration,
     pub p99: Duration,
-    /// Longest time to a refusal.
+    /// Longest latency of a refusal.
     pub slowest_refusal: Duration,
-    /// Refusals that did not say when to come back.
-    pub silent: usize,
+    /// Number of refusals that did not state when to retry.
+    pub without_retry_after: usize,
 }
 
-impl Caught {
-    pub fn ask(
+impl Results {
+    pub fn sent(
         &mut self,
         now: Time,
         request: id::Request,
         label: &'static str,
         ask: &SearchRequest,
     ) {
-        self.open.insert(request, (now, label, ask.allowance));
+        self.pending.insert(request, (now, label, ask.allowance));
     }
 
     pub fn answer(&mut self, now: Time, request: id::Request, answer: &Answer) {
         let answered = answer.coverage.answered as usize;
-        self.untrue += u64::from(answer.hits.len() != answered.min(100));
+        self.inconsistent += u64::from(answer.hits.len() != answered.min(100));
         let kind = match answer.coverage.is_full() {
-            true => Kind::Whole,
+            true => Kind::Complete,
             false => Kind::Partial,
         };
         self.end(now, request, kind, false);
@@ -93,13 +94,13 @@
     }
 
     fn end(&mut self, now: Time, request: id::Request, kind: Kind, retry_after: bool) {
-        let Some((asked, label, allowance)) = self.open.remove(&request) else {
-            self.doubled += 1;
+        let Some((sent_at, label, allowance)) = self.pending.remove(&request) else {
+            self.duplicates += 1;
             return;
         };
-        self.ended.push(Ended {
+        self.ended.push(EndedQuery {
             label,
-            asked,
+            sent_at,
             ended: now,
             allowance,
             kind,
@@ -112,47 +113,47 @@
         self.sent_late += u64::from(left.is_zero());
     }
 
-    /// What callers received for queries that they asked from `from` to `until`, in seconds.
+    /// Summarises the queries of `label` that were sent from `from` to `until`, in seconds.
     pub fn summary(&self, label: &str, from: f64, until: f64) -> Summary {
         let from = Duration::from_secs_f64(from);
         let until = Duration::from_secs_f64(until);
-        let of: Vec<&Ended> = self
+        let matching: Vec<&EndedQuery> = self
             .ended
             .iter()
-            .filter(|e| e.label == label && e.asked >= from && e.asked < until)
+            .filter(|e| e.label == label && e.sent_at >= from && e.sent_at < until)
             .collect();
-        let count = |kind| of.iter().filter(|e| e.kind == kind).count();
-        let refusals = of.iter().filter(|e| e.kind == Kind::Refused);
-        let answers = of.iter().filter(|e| e.kind != Kind::Refused);
-        let mut times: Vec<Duration> = answers.map(|e| e.ended - e.asked).collect();
-        times.sort_unstable();
-        let at = |percent: usize| {
-            let index = (times.len() * percent / 100).min(times.len().saturating_sub(1));
-            times.get(index).copied().unwrap_or_default()
+        let count = |kind| matching.iter().filter(|e| e.kind == kind).count();
+        let refusals = matching.iter().filter(|e| e.kind == Kind::Refused);
+        let answers = matching.iter().filter(|e| e.kind != Kind::Refused);
+        let mut latencies: Vec<Duration> = answers.map(|e| e.ended - e.sent_at).collect();
+        latencies.sort_unstable();
+        let percentile = |percent: usize| {
+            let index = (latencies.len() * percent / 100).min(latencies.len().saturating_sub(1));
+            latencies.get(index).copied().unwrap_or_default()
         };
-        let late = |e: &&&Ended| e.kind != Kind::Refused && e.ended - e.asked > e.allowance;
+        let late = |e: &&&EndedQuery| e.kind != Kind::Refused && e.ended - e.sent_at > e.allowance;
         Summary {
-            offered: of.len(),
-            whole: count(Kind::Whole),
+            offered: matching.len(),
+            complete: count(Kind::Complete),
             partial: count(Kind::Partial),
             refused: count(Kind::Refused),
-            late: of.iter().filter(late).count(),
-            p50: at(50),
-            p99: at(99),
+            late: matching.iter().filter(late).count(),
+            p50: percentile(50),
+            p99: percentile(99),
             slowest_refusal: refusals
                 .clone()
-                .map(|e| e.ended - e.asked)
+                .map(|e| e.ended - e.sent_at)
                 .max()
                 .unwrap_or_default(),
-            silent: refusals.filter(|e| !e.retry_after).count(),
+            without_retry_after: refusals.filter(|e| !e.retry_after).count(),
         }
     }
 }
 
 impl Summary {
-    /// Share of queries with a whole answer in time, from 0 to 1.
+    /// Share of queries with a complete answer, from 0 to 1.
     pub fn success(&self) -> f64 {
-        (self.whole as f64) / (self.offered.max(1) as f64)
+        (self.complete as f64) / (self.offered.max(1) as f64)
     }
 }
 
--- a/crates/lentillift-entry/tests/bench/setup.rs
+++ b/crates/lentillift-entry/tests/bench/setup.rs
@@ -1,4 +1,4 @@
-//! What is built.
+//! Configuration and placement of the simulated fleet.
 
 use lentillift_core::id;
 use lentillift_core::snapshot::Map;
@@ -15,13 +15,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The only service.
+/// Name of the only service.
 pub const SERVICE: &str = "search";
 
-/// The classes, by rank.
+/// Names of the classes, in order of rank.
 pub const CLASSES: [&str; 3] = ["name", "timetable", "archive"];
 
-/// What is built.
+/// Parameters of the simulated fleet.
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub hosts: usize,
@@ -31,13 +31,13 @@
     pub replicas: usize,
     pub slots: u32,
     pub queue_ms: u64,
-    /// Callers with their class and weight.
+    /// Callers, each with its class and weight.
     pub callers: Vec<(&'static str, &'static str, u32)>,
-    /// Time of an untroubled request.
+    /// Mean service time of a request without load or faults.
     pub service_time: Duration,
     pub policy: Policy,
-    /// Factor of all times at which something happens; rates and allowances stay.
-    pub pace: f64,
+    /// Factor for the times of streams and faults; rates and allowances are not scaled.
+    pub time_scale: f64,
     pub seed: u64,
 }
 
@@ -53,13 +53,13 @@
             callers: vec![("reader", "name", 1)],
             service_time: Duration::from_millis(5),
             policy: Policy::default(),
-            pace: 1.0,
+            time_scale: 1.0,
             seed: 7,
         }
     }
 }
 
-/// Name of the replica `replica` of shard `shard`.
+/// Name of the backend server of a replica.
 pub fn backend(shard: u32, replica: usize) -> id::Backend {
     format!("b{shard}-{replica}").into()
 }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Name of failure domain `number`.
+/// Name of a failure domain.
 pub fn domain(number: usize) -> id::Domain {
     format!("d{number}").into()
 }
--- a/crates/lentillift-entry/tests/bench/table.rs
+++ b/crates/lentillift-entry/tests/bench/table.rs
@@ -1,4 +1,4 @@
-//! The table of load patterns, each with its module on and off.
+//! The table of load patterns, each run with its mechanism on and off.
 
 use super::World;
 use super::patterns;
@@ -7,21 +7,29 @@
 /// A load pattern.
 pub struct Pattern {
     pub name: &'static str,
-    /// Runs it with and without its module.
+    /// Runs the pattern with and without its mechanism, and returns the lines of its table. The
+    /// argument is the factor for all times.
     pub run: fn(f64) -> Vec<String>,
 }
 
-/// All patterns, in the order of the page that shows them.
+/// All patterns, in the order in which `docs/PERFORMANCE.md` lists them.
 pub const ALL: &[Pattern] = &[
     Pattern {
         name: "burst of 10x for 2 s",
-        run: |pace| both(pace, patterns::burst, |p| p.queue.on = false, &["reader"]),
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
+                patterns::burst,
+                |p| p.queue.on = false,
+                &["reader"],
+            )
+        },
     },
     Pattern {
         name: "caller at 20x its share",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::hot_caller,
                 |p| p.queue.on = false,
                 &["a", "b", "c"],
@@ -30,9 +38,9 @@
     },
     Pattern {
         name: "the same callers without that one",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::without_hot_caller,
                 |p| p.queue.on = false,
                 &["a", "b"],
@@ -41,9 +49,9 @@
     },
     Pattern {
         name: "one key at 50x",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::hot_key,
                 |p| p.coalescing.on = false,
                 &["reader", "hot"],
@@ -52,9 +60,9 @@
     },
     Pattern {
         name: "one server 10x slow, then hung",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::slow_server,
                 without_avoidance,
                 &["well", "slow", "hung"],
@@ -63,9 +71,9 @@
     },
     Pattern {
         name: "1% stragglers at 10x",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::stragglers,
                 |p| p.hedge.on = false,
                 &["reader"],
@@ -74,9 +82,9 @@
     },
     Pattern {
         name: "1 long job in 10, 2 slots",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::long_jobs,
                 |p| p.queue.on = false,
                 &["before", "reader", "batch"],
@@ -85,20 +93,25 @@
     },
     Pattern {
         name: "3x capacity for a minute",
-        run: |pace| {
+        run: |time_scale| {
             let off = |p: &mut Policy| {
                 p.admission.on = false;
                 p.queue.on = false;
                 p.retry.on = false;
             };
-            both(pace, patterns::overload, off, &["name", "archive", "after"])
+            run_on_and_off(
+                time_scale,
+                patterns::overload,
+                off,
+                &["name", "archive", "after"],
+            )
         },
     },
     Pattern {
         name: "cold return under load",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::cold_return,
                 |p| p.warmup.on = false,
                 &["reader"],
@@ -107,16 +120,21 @@
     },
     Pattern {
         name: "reports that lie",
-        run: |pace| {
+        run: |time_scale| {
             let labels = ["truth", "idle", "full", "cold", "draining", "nothing"];
-            both(pace, patterns::false_reports, without_avoidance, &labels)
+            run_on_and_off(
+                time_scale,
+                patterns::false_reports,
+                without_avoidance,
+                &labels,
+            )
         },
     },
     Pattern {
         name: "reports 30 s late",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::late_reports,
                 |p| p.warmup.on = false,
                 &["reader"],
@@ -125,9 +143,9 @@
     },
     Pattern {
         name: "one of three domains out and back",
-        run: |pace| {
-            both(
-                pace,
+        run: |time_scale| {
+            run_on_and_off(
+                time_scale,
                 patterns::domain_out,
                 |p| p.warmup.on = false,
                 &["name", "timetable", "archive"],
@@ -136,6 +154,7 @@
     },
 ];
 
+/// Turns off every mechanism that avoids slow, cold or failing servers.
 fn without_avoidance(policy: &mut Policy) {
     policy.choice.on = false;
     policy.hedge.on = false;
@@ -144,8 +163,9 @@
     policy.slots.on = false;
 }
 
-fn both(
-    pace: f64,
+/// Runs a pattern with the default policy and with the policy that `off` changes.
+fn run_on_and_off(
+    time_scale: f64,
     pattern: fn(Policy, f64) -> World,
     off: fn(&mut Policy),
     labels: &[&str],
@@ -156,15 +176,15 @@
         if !on {
             off(&mut policy);
         }
-        let world = pattern(policy, pace);
+        let world = pattern(policy, time_scale);
         for label in labels {
-            let summary = world.caught.summary(label, 0.0, 1e6);
+            let summary = world.results.summary(label, 0.0, 1e6);
             lines.push(format!("{name:>3} | {label:>9} | {summary}"));
         }
-        let falls: u64 = world.backends.values().map(|b| b.falls).sum();
+        let crashes: u64 = world.backends.values().map(|b| b.crashes).sum();
         lines.push(format!(
-            "{name:>3} | runs {} | sent late {} | falls {falls} | {:?}",
-            world.caught.runs, world.caught.sent_late, world.counts
+            "{name:>3} | runs {} | sent late {} | falls {crashes} | {:?}",
+            world.results.runs, world.results.sent_late, world.counts
         ));
     }
     lines
--- a/crates/lentillift-entry/tests/fatal.rs
+++ b/crates/lentillift-entry/tests/fatal.rs
@@ -1,4 +1,4 @@
-//! Searches that end each backend server which begins to run them.
+//! Searches that end every backend server that starts to run them.
 
 use lentillift_core::sub;
 use lentillift_core::sub::Failure;
@@ -18,17 +18,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shards, each with a replica in either failure domain.
+/// Number of shards, each with one replica in each failure domain.
 const SHARDS: usize = 20;
 
-/// Attempts of the same search.
+/// Number of attempts of the same search.
 const ATTEMPTS: u64 = 10;
 
-/// Servers that have to end under a search before it is held for what ends them.
-const ENDS: usize = 3;
+/// Number of servers that have to end under a search before it is suspected.
+const SUSPECT_ENDS: usize = 3;
 
-/// Attempts that may still be sent afterwards.
-const MOST_ATTEMPTS: usize = 3;
+/// Maximum number of attempts that are still sent afterwards.
+const MAX_ATTEMPTS_SENT: usize = 3;
 
 const CONFIG: &str = r#"{
     "revision": 1, "domains": ["a", "b"], "domains_out": [],
@@ -63,7 +63,7 @@
     Arc::new(View::new(values, vec!["host-0".into(), "host-1".into()]))
 }
 
-fn question() -> SearchRequest {
+fn search_request() -> SearchRequest {
     SearchRequest {
         service: "s".into(),
         caller: "x".into(),
@@ -74,31 +74,31 @@
     }
 }
 
-/// Asks once; whoever gets a part of the search ends. Says which servers did.
-fn ask(entry: &mut Entry<StdRng>, now: Time, request: u64) -> Vec<Sub> {
-    let ask = question();
-    let mut open = entry.handle(now, Event::Ask { request, ask });
+/// Runs one attempt in which every server that gets a sub-request ends. Returns these sub-requests.
+fn attempt_all_end(entry: &mut Entry<StdRng>, now: Time, request: u64) -> Vec<Sub> {
+    let ask = search_request();
+    let mut effects = entry.handle(now, Event::Ask { request, ask });
     let mut sent = Vec::new();
-    while let Some(effect) = open.pop() {
+    while let Some(effect) = effects.pop() {
         if let Effect::Send { sub, .. } = effect {
             let result = sub::Result::unknown(Failure::Ended);
             let id = sub.id;
             sent.push(sub);
             let load = None;
-            open.extend(entry.handle(now, Event::Reply { id, result, load }));
+            effects.extend(entry.handle(now, Event::Reply { id, result, load }));
         }
     }
     sent
 }
 
-/// Asks once, as [`ask`], in a world where only the servers that `ends` names end, and the others reply.
-fn ask_beside<F>(entry: &mut Entry<StdRng>, now: Time, request: u64, ends: F) -> Option<Answer>
+/// Runs one attempt in which only the servers that `ends` selects end, and the others reply.
+fn attempt_with<F>(entry: &mut Entry<StdRng>, now: Time, request: u64, ends: F) -> Option<Answer>
 where
     F: Fn(&str) -> bool,
 {
-    let ask = question();
-    let mut open = VecDeque::from(entry.handle(now, Event::Ask { request, ask }));
-    while let Some(effect) = open.pop_front() {
+    let ask = search_request();
+    let mut effects = VecDeque::from(entry.handle(now, Event::Ask { request, ask }));
+    while let Some(effect) = effects.pop_front() {
         match effect {
             Effect::Send { sub, .. } => {
                 let result = match ends(&sub.backend) {
@@ -106,7 +106,7 @@
                     false => sub::Result::Hits(Vec::new()),
                 };
                 let (id, load) = (sub.id, None);
-                open.extend(entry.handle(now, Event::Reply { id, result, load }));
+                effects.extend(entry.handle(now, Event::Reply { id, result, load }));
             }
             Effect::Answer { answer, .. } => return Some(answer),
             Effect::Cancel { .. } | Effect::Refuse { .. } => {}
@@ -115,39 +115,41 @@
     None
 }
 
-/// A failure domain is lost before any reply. The search that was in flight is answered by the other one.
+/// A failure domain is lost before any reply. The search in flight must be answered completely by
+/// the other domain.
 #[test]
-fn a_search_that_was_there_is_answered() {
+fn search_in_flight_survives_loss_of_a_domain() {
     let mut entry = Entry::new(StdRng::seed_from_u64(1)).with_domain("a".into());
     entry.handle(Time::ZERO, Event::View(view()));
-    let answer = ask_beside(&mut entry, Time::ZERO, 1, |backend| {
+    let answer = attempt_with(&mut entry, Time::ZERO, 1, |backend| {
         backend.starts_with('a')
     });
     let answer = answer.expect("an answer");
     assert_eq!(answer.coverage.answered as usize, SHARDS, "{answer:?}");
 }
 
-/// One attempt ends one replica of each shard and those that find out, not both replicas.
+/// Retries of a fatal search would end both replicas of every shard. One attempt may end one
+/// replica of each shard, plus the canaries.
 #[test]
-fn a_search_that_ends_servers_spares_replicas() {
+fn fatal_search_does_not_end_both_replicas() {
     let mut entry = Entry::new(StdRng::seed_from_u64(1));
     entry.handle(Time::ZERO, Event::View(view()));
-    let sent = ask(&mut entry, Time::ZERO, 1);
+    let sent = attempt_all_end(&mut entry, Time::ZERO, 1);
     assert!(sent.len() <= SHARDS + 2, "{}", sent.len());
 }
 
-/// The same search ends servers at each attempt, since nothing outlives a query.
+/// A fatal search would end servers at each attempt if nothing were remembered after a query.
 #[test]
-fn a_search_that_ends_servers_is_stopped() {
+fn repeated_fatal_search_is_quarantined() {
     let mut entry = Entry::new(StdRng::seed_from_u64(1));
     entry.handle(Time::ZERO, Event::View(view()));
     let mut ends = 0;
     let mut attempts = 0;
     for attempt in 0..ATTEMPTS {
         let now = Duration::from_secs(10 * attempt);
-        let sent = ask(&mut entry, now, attempt);
-        attempts += usize::from(ends >= ENDS && !sent.is_empty());
+        let sent = attempt_all_end(&mut entry, now, attempt);
+        attempts += usize::from(ends >= SUSPECT_ENDS && !sent.is_empty());
         ends += sent.len();
     }
-    assert!(attempts <= MOST_ATTEMPTS, "{attempts} attempts sent on");
+    assert!(attempts <= MAX_ATTEMPTS_SENT, "{attempts} attempts sent on");
 }
--- a/crates/lentillift-entry/tests/invariants.rs
+++ b/crates/lentillift-entry/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What an entry promises its callers whatever happens.
+//! Invariants of an entry under random events.
 
 #[path = "bench/setup.rs"]
 #[allow(dead_code, unreachable_pub)]
@@ -26,14 +26,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that happens.
+/// A random event.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A query with one of some bodies, an allowance in milliseconds and a limit.
+    /// A query: its body, its allowance in milliseconds and its limit of hits.
     Ask(u8, u64, usize),
-    /// A caller goes away.
+    /// The caller of the waiting query at this position closes its connection.
     Gone(usize),
-    /// A sub-request is answered, well or not, with or without a load.
+    /// The sub-request at this position ends with this result, with or without a reported load.
     Reply(usize, usize, bool),
     /// The link to a host ends.
     Down(usize),
@@ -51,17 +51,17 @@
     ]
 }
 
-struct Bench {
+struct Harness {
     entry: Entry<StdRng>,
     now: Time,
     next: id::Request,
-    /// Queries that wait, with their deadlines and limits.
-    open: BTreeMap<id::Request, (Time, usize)>,
-    flying: BTreeMap<id::Sub, (id::Host, Sub)>,
+    /// Queries without an answer yet, with their deadlines and limits.
+    waiting: BTreeMap<id::Request, (Time, usize)>,
+    in_flight: BTreeMap<id::Sub, (id::Host, Sub)>,
     answered: BTreeSet<id::Request>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let setup = setup::Setup::default();
         let values = Values {
@@ -76,8 +76,8 @@
             entry,
             now: Time::ZERO,
             next: 0,
-            open: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            waiting: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             answered: BTreeSet::new(),
         }
     }
@@ -87,7 +87,8 @@
             Step::Ask(body, ms, limit) => {
                 self.next += 1;
                 let allowance = Duration::from_millis(ms);
-                self.open.insert(self.next, (self.now + allowance, limit));
+                self.waiting
+                    .insert(self.next, (self.now + allowance, limit));
                 let ask = SearchRequest {
                     service: setup::SERVICE.into(),
                     caller: "reader".into(),
@@ -100,29 +101,29 @@
                 self.handle(Event::Ask { request, ask })
             }
             Step::Gone(which) => {
-                let Some(request) = self.open.keys().nth(which).copied() else {
+                let Some(request) = self.waiting.keys().nth(which).copied() else {
                     return Ok(());
                 };
-                self.open.remove(&request);
+                self.waiting.remove(&request);
                 self.handle(Event::Gone { request })
             }
-            Step::Reply(which, how, load) => {
+            Step::Reply(which, kind, load) => {
                 let Some((id, sub)) = self
-                    .flying
+                    .in_flight
                     .iter()
                     .nth(which)
                     .map(|(id, (_, sub))| (*id, sub.clone()))
                 else {
                     return Ok(());
                 };
-                self.flying.remove(&id);
+                self.in_flight.remove(&id);
                 let load = load.then(Load::default);
-                let result = result(how, &sub);
+                let result = result(kind, &sub);
                 self.handle(Event::Reply { id, result, load })
             }
             Step::Down(which) => {
                 let host: id::Host = format!("h{which}").into();
-                self.flying.retain(|_, (owner, _)| *owner != host);
+                self.in_flight.retain(|_, (owner, _)| *owner != host);
                 self.handle(Event::Down { host })
             }
             Step::Wait(ms) => {
@@ -142,18 +143,18 @@
             match effect {
                 Effect::Send { to, sub } => {
                     prop_assert!(!sub.allowance.is_zero());
-                    prop_assert!(self.flying.insert(sub.id, (to, sub)).is_none());
+                    prop_assert!(self.in_flight.insert(sub.id, (to, sub)).is_none());
                 }
                 Effect::Cancel { id, .. } => {
                     prop_assert!(
-                        self.flying.remove(&id).is_some(),
-                        "cancelled what had ended"
+                        self.in_flight.remove(&id).is_some(),
+                        "cancelled a sub-request that had ended"
                     );
                 }
                 Effect::Answer { request, answer } => {
-                    let open = self.open.remove(&request);
-                    let Some((deadline, limit)) = open else {
-                        return Err(TestCaseError::fail("answered twice, or a stranger"));
+                    let found = self.waiting.remove(&request);
+                    let Some((deadline, limit)) = found else {
+                        return Err(TestCaseError::fail("answered twice, or an unknown request"));
                     };
                     prop_assert!(self.now <= deadline);
                     let answered = answer.coverage.answered as usize;
@@ -161,7 +162,7 @@
                     self.answered.insert(request);
                 }
                 Effect::Refuse { request, .. } => {
-                    prop_assert!(self.open.remove(&request).is_some(), "refused twice");
+                    prop_assert!(self.waiting.remove(&request).is_some(), "refused twice");
                 }
             }
         }
@@ -169,8 +170,8 @@
     }
 }
 
-fn result(how: usize, sub: &Sub) -> sub::Result {
-    match how {
+fn result(kind: usize, sub: &Sub) -> sub::Result {
+    match kind {
         0 => sub::Result::unknown(Failure::Connection),
         1 => sub::Result::unknown(Failure::Timeout),
         2 => sub::Result::not_run(Failure::Refused),
@@ -192,17 +193,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Callers ask the same and different things, go away and wait; owners answer, refuse, fail and
-    /// vanish. A caller that gets no answer, two, a late one or somebody else's limit notices; what
-    /// goes on for nobody takes slots from those who wait.
+    /// Callers send equal and different queries and disconnect; owners reply, refuse, fail and
+    /// vanish. Each caller must get exactly one answer, in time and within its own limit, and no
+    /// sub-request may stay in flight once nobody waits for it.
     #[test]
-    fn each_caller_gets_one_answer_of_its_own(steps in prop::collection::vec(step(), 1..200)) {
-        let mut bench = Bench::new();
+    fn each_caller_gets_one_answer_in_time_within_its_limit(steps in prop::collection::vec(step(), 1..200)) {
+        let mut harness = Harness::new();
         for step in &steps {
-            bench.step(step)?;
+            harness.step(step)?;
         }
-        bench.step(&Step::Wait(1000))?;
-        prop_assert!(bench.open.is_empty(), "{:?}", bench.open);
-        prop_assert!(bench.flying.is_empty(), "{:?}", bench.flying);
+        harness.step(&Step::Wait(1000))?;
+        prop_assert!(harness.waiting.is_empty(), "{:?}", harness.waiting);
+        prop_assert!(harness.in_flight.is_empty(), "{:?}", harness.in_flight);
     }
 }
--- a/crates/lentillift-entry/tests/snapshot.rs
+++ b/crates/lentillift-entry/tests/snapshot.rs
@@ -1,9 +1,10 @@
-//! One snapshot and a true coverage, whatever comes in whatever order.
+//! Consistency of answers: hits from one snapshot only, and a coverage that matches them.
 //!
-//! Each published snapshot cuts the same documents into shards in its own way, as repartitioning
-//! does. Sub-requests are answered in any order, late, twice, by hits, by each failure, or not at all,
-//! while snapshots come and go and failure domains are taken out. What a caller notices of a breach
-//! is a notice that shows twice, one that is missing without a word, or hits of two versions mixed.
+//! Each published snapshot partitions the same documents in another way, as repartitioning does.
+//! Sub-requests are answered in any order, late, twice, with hits, with each failure, or not at
+//! all, while snapshots are published and dropped and failure domains are taken out. A caller would
+//! see a violation as a duplicate hit, a hit that is missing although its shard counts as answered,
+//! or hits of two snapshots.
 
 use lentillift_core::hit::Hit;
 use lentillift_core::id;
@@ -34,13 +35,16 @@
 const SNAPSHOTS: u64 = 4;
 const BACKENDS: u64 = 4;
 
-/// Shards of a snapshot: the map is split, merged and moved from one to the next.
+/// Number of shards of a snapshot: shards are split, merged and moved from one snapshot to the
+/// next.
 fn shards(snapshot: id::Snapshot) -> u64 {
     [3, 4, 2, 3][snapshot as usize % 4]
 }
 
-/// The documents of one shard; a shard holds those whose number leaves its own as a remainder, and
-/// every other snapshot numbers its shards the other way round.
+/// The documents of one shard: those whose number modulo the number of shards equals the shard's
+/// own.
+///
+/// Odd snapshots number their shards in reverse.
 fn documents(snapshot: id::Snapshot, shard: id::Shard) -> impl Iterator<Item = u64> {
     let count = shards(snapshot);
     let rest = match snapshot % 2 {
@@ -50,7 +54,7 @@
     (0..DOCUMENTS).filter(move |document| document % count == rest)
 }
 
-/// A view in which some snapshots are published and one domain may be out.
+/// A view with `count` published snapshots from `first` on; `out` takes domain `a` out of service.
 fn view(first: u64, count: u64, out: bool) -> Arc<View> {
     let servers = (0..BACKENDS).map(|backend| {
         let domain = ["a", "b"][backend as usize % 2];
@@ -102,7 +106,7 @@
         body: u8,
     },
     Gone(usize),
-    /// A sub-request that was ever sent gets a reply, for the first time or again.
+    /// Any sub-request that was sent gets a reply, for the first time or again; 0 is the latest.
     Hits(usize),
     Fail(usize, Failure, bool),
     Down(usize),
@@ -113,11 +117,11 @@
 struct World {
     now: Time,
     entry: Entry<StdRng>,
-    /// Every sub-request that was ever sent, cancelled ones too.
+    /// All sub-requests that were sent, including cancelled ones.
     sent: Vec<Sub>,
-    /// Requests that wait, with the least coverage of each.
+    /// Requests without an answer yet, with the minimum coverage of each, in percent.
     waiting: Vec<(id::Request, u8)>,
-    /// Sub-requests whose hits came, by number.
+    /// Numbers of the sub-requests that hits were delivered for.
     replied: HashSet<id::Sub>,
     next: id::Request,
 }
@@ -132,11 +136,11 @@
             replied: HashSet::new(),
             next: 0,
         };
-        world.tell(Event::View(VIEWS[0].clone()));
+        world.handle(Event::View(VIEWS[0].clone()));
         world
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         for effect in self.entry.handle(self.now, event) {
             match effect {
                 Effect::Send { sub, .. } => self.sent.push(sub),
@@ -152,7 +156,8 @@
         }
     }
 
-    /// Takes note that a request got its answer; it must not get two.
+    /// Removes a request that got its answer, and returns its minimum coverage. Fails on a second
+    /// answer.
     fn answered(&mut self, request: id::Request) -> u8 {
         let at = self
             .waiting
@@ -177,12 +182,12 @@
                     body: [body].into(),
                 };
                 let request = self.next;
-                self.tell(Event::Ask { request, ask });
+                self.handle(Event::Ask { request, ask });
             }
             Step::Gone(at) if !self.waiting.is_empty() => {
                 let at = at % self.waiting.len();
                 let (request, _) = self.waiting.remove(at);
-                self.tell(Event::Gone { request });
+                self.handle(Event::Gone { request });
             }
             Step::Hits(at) if !self.sent.is_empty() => {
                 let at = self.sent.len() - 1 - at % self.sent.len();
@@ -190,7 +195,7 @@
                 let id = sub.id;
                 let result = sub::Result::Hits(hits(sub));
                 self.replied.insert(id);
-                self.tell(Event::Reply {
+                self.handle(Event::Reply {
                     id,
                     result,
                     load: None,
@@ -203,7 +208,7 @@
                     true => sub::Result::unknown(failure),
                     false => sub::Result::not_run(failure),
                 };
-                self.tell(Event::Reply {
+                self.handle(Event::Reply {
                     id,
                     result,
                     load: None,
@@ -211,19 +216,19 @@
             }
             Step::Down(host) => {
                 let host = format!("host-{host}").into();
-                self.tell(Event::Down { host });
+                self.handle(Event::Down { host });
             }
-            Step::View(which) => self.tell(Event::View(VIEWS[which % VIEWS.len()].clone())),
+            Step::View(which) => self.handle(Event::View(VIEWS[which % VIEWS.len()].clone())),
             Step::Wait(ms) => {
                 self.now += Duration::from_millis(ms);
-                self.tell(Event::Tick);
+                self.handle(Event::Tick);
             }
             _ => {}
         }
     }
 }
 
-/// What the backend server that holds the shard of that snapshot answers.
+/// The correct hits for a sub-request.
 fn hits(sub: &Sub) -> Vec<Hit> {
     let Work::Search { snapshot, shard } = sub.work else {
         panic!("a query sends searches only");
@@ -236,6 +241,7 @@
     documents(snapshot, shard).map(hit).collect()
 }
 
+/// Checks that the hits of an answer are exactly those of the shards that it counts as answered.
 fn check(answer: &Answer, least: u8, replied: &HashSet<id::Sub>, sent: &[Sub]) {
     let coverage = &answer.coverage;
     let snapshot = answer.snapshot;
@@ -248,18 +254,18 @@
     let answered: Vec<id::Shard> = (0..coverage.shards)
         .filter(|s| !missing.contains(s))
         .collect();
-    let truth = answered
+    let expected = answered
         .iter()
         .flat_map(|shard| documents(snapshot, *shard));
-    let mut truth: Vec<String> = truth.map(|d| format!("{snapshot}:{d:02}")).collect();
-    truth.sort();
+    let mut expected: Vec<String> = expected.map(|d| format!("{snapshot}:{d:02}")).collect();
+    expected.sort();
     let hits: Vec<String> = answer.hits.iter().map(|hit| hit.id.clone()).collect();
     assert_eq!(
-        hits, truth,
-        "hits that are doubled, missing or of another snapshot"
+        hits, expected,
+        "hits that are duplicated, missing or of another snapshot"
     );
     assert_eq!(coverage.weight, DOCUMENTS);
-    assert_eq!(coverage.covered, truth.len() as u64);
+    assert_eq!(coverage.covered, expected.len() as u64);
     assert!(coverage.share() * 100.0 >= f64::from(least) - 1e-9);
     for shard in answered {
         let work = Work::Search { snapshot, shard };
@@ -307,7 +313,7 @@
     })]
 
     #[test]
-    fn an_answer_is_of_one_snapshot_and_covers_what_it_says(steps in steps()) {
+    fn answer_has_one_snapshot_and_correct_coverage(steps in steps()) {
         let mut world = World::new();
         for step in steps {
             world.step(step);
@@ -317,10 +323,11 @@
     }
 }
 
-/// All replicas of a shard have dropped the snapshot of a query under way, and a newer one is
-/// published. Its caller must not miss that shard: the whole query starts anew, once.
+/// All replicas of a shard have dropped the snapshot of a running query, and a newer one is
+/// published. The answer would miss that shard, so the whole query must restart at the newer
+/// snapshot, once.
 #[test]
-fn a_dropped_snapshot_leads_to_one_fresh_start() {
+fn dropped_snapshot_restarts_the_query_once() {
     let mut world = World::new();
     world.step(Step::Ask {
         least: 100,
@@ -328,24 +335,24 @@
     });
     let first = world.sent.len();
     assert_eq!(first as u64, shards(0));
-    world.tell(Event::View(view(0, 2, false)));
+    world.handle(Event::View(view(0, 2, false)));
     world.now += Duration::from_millis(10);
     let gone = || sub::Result::not_run(Failure::SnapshotGone);
-    // The first shard's two replicas, the second of which is asked after the first refused.
+    // Both replicas of the first shard: the second gets its sub-request after the first one failed.
     for at in [0, first] {
         let id = world.sent[at].id;
-        world.tell(Event::Reply {
+        world.handle(Event::Reply {
             id,
             result: gone(),
             load: None,
         });
     }
-    let fresh: Vec<Sub> = world.sent.drain(..).skip(first + 1).collect();
-    assert_eq!(fresh.len() as u64, shards(1));
-    for sub in &fresh {
+    let restarted: Vec<Sub> = world.sent.drain(..).skip(first + 1).collect();
+    assert_eq!(restarted.len() as u64, shards(1));
+    for sub in &restarted {
         assert!(matches!(sub.work, Work::Search { snapshot: 1, .. }));
     }
-    world.sent = fresh;
+    world.sent = restarted;
     for _ in 0..shards(1) {
         let at = world
             .sent
