--- a/crates/lentillift-caller/src/parse.rs
+++ b/crates/lentillift-caller/src/parse.rs
@@ -7,8 +7,8 @@
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
-use lentillift_entry::answer::Ask;
-use lentillift_once::submit::Submit;
+use lentillift_entry::answer::SearchRequest;
+use lentillift_once::submit::ActionRequest;
 use serde::de::IgnoredAny;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Route {
     /// A query.
-    Query(Ask),
+    Query(SearchRequest),
     /// An id for a request that may run at most once.
     Issue {
         /// The service that the id is for.
@@ -47,7 +47,7 @@
         caller: id::Caller,
     },
     /// A request that may run at most once.
-    Action(Submit),
+    Action(ActionRequest),
 }
 
 /// Why a request was not understood.
@@ -91,7 +91,7 @@
     .map_err(Fault::Refused)
 }
 
-fn query(service: &str, request: &Request<Bytes>) -> Result<Ask, Refusal> {
+fn query(service: &str, request: &Request<Bytes>) -> Result<SearchRequest, Refusal> {
     let headers = request.headers();
     let body: Body<'_> = serde_json::from_slice(request.body()).map_err(malformed)?;
     let limit = match body.get("limit") {
@@ -110,7 +110,7 @@
             "{LEAST_COVERAGE}: found {least_coverage}, from 0 to 1 is right"
         )));
     }
-    Ok(Ask {
+    Ok(SearchRequest {
         service: service.into(),
         caller: caller(headers)?,
         allowance: allowance(headers)?,
@@ -127,10 +127,10 @@
     })
 }
 
-fn action(service: &str, request: &Request<Bytes>) -> Result<Submit, Refusal> {
+fn action(service: &str, request: &Request<Bytes>) -> Result<ActionRequest, Refusal> {
     let headers = request.headers();
     serde_json::from_slice::<IgnoredAny>(request.body()).map_err(malformed)?;
-    Ok(Submit {
+    Ok(ActionRequest {
         service: service.into(),
         caller: caller(headers)?,
         allowance: allowance(headers)?,
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -12,12 +12,12 @@
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
 use lentillift_core::refusal::Refusal;
-use lentillift_entry::answer::Ask;
+use lentillift_entry::answer::SearchRequest;
 use lentillift_http::listener;
 use lentillift_http::listener::Options;
 use lentillift_http::listener::plain;
-use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
+use lentillift_once::submit::ActionRequest;
+use lentillift_once::submit::ActionResponse;
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn query(&self, ask: Ask) -> Response<Bytes> {
+    async fn query(&self, ask: SearchRequest) -> Response<Bytes> {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let call = Call::Query {
@@ -124,7 +124,7 @@
         }
     }
 
-    async fn action(&self, submit: Submit) -> Response<Bytes> {
+    async fn action(&self, submit: ActionRequest) -> Response<Bytes> {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, settled) = oneshot::channel();
         let call = Call::Action {
@@ -134,7 +134,8 @@
         };
         let _ = self.calls.send(call).await;
         // Also when nobody took the call: the id may have come by another entry before.
-        let ending = |_| Settled::unknown("the process is ending; ask another with the same id");
+        let ending =
+            |_| ActionResponse::unknown("the process is ending; ask another with the same id");
         render::settled(settled.await.unwrap_or_else(ending))
     }
 }
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -11,9 +11,9 @@
 use lentillift_fleet::grant::Verdict;
 use lentillift_fleet::sync;
 use lentillift_fleet::tenure::Transfer;
-use lentillift_once::record::Parcel;
-use lentillift_once::submit::Settled;
-use lentillift_once::submit::Submit;
+use lentillift_once::record::HandoverBatch;
+use lentillift_once::submit::ActionRequest;
+use lentillift_once::submit::ActionResponse;
 
 /// A message between two of the system's processes.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,14 +38,14 @@
         /// The request's number at the entry.
         request: id::Request,
         /// The request.
-        submit: Submit,
+        submit: ActionRequest,
     },
     /// A home answers such a request.
     Settled {
         /// The request's number at the entry.
         request: id::Request,
         /// What became of it.
-        settled: Settled,
+        settled: ActionResponse,
     },
     /// The host that was asked isn't the home of such a request.
     NotHome {
@@ -53,7 +53,7 @@
         request: id::Request,
     },
     /// A home that ends hands over ids that it has given up.
-    Handover(Parcel),
+    Handover(HandoverBatch),
     /// A host has taken over what a parcel held.
     Taken {
         /// The parcel's number.
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -9,7 +9,7 @@
 use lentillift_once::submit;
 use std::time::Duration;
 
-/// See [`submit::Submit`].
+/// See [`submit::ActionRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Submit {
     key: String,
@@ -19,7 +19,7 @@
     body: Vec<u8>,
 }
 
-/// See [`submit::Settled`].
+/// See [`submit::ActionResponse`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Settled {
     outcome: Outcome,
@@ -28,7 +28,7 @@
     body: Vec<u8>,
 }
 
-/// See [`record::Parcel`].
+/// See [`record::HandoverBatch`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Parcel {
     number: u64,
@@ -37,7 +37,7 @@
     records: Vec<Carried>,
 }
 
-/// See [`record::Carried`].
+/// See [`record::HandoverRecord`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Carried {
     number: u64,
@@ -76,8 +76,8 @@
     }
 }
 
-impl From<submit::Submit> for Submit {
-    fn from(submit: submit::Submit) -> Self {
+impl From<submit::ActionRequest> for Submit {
+    fn from(submit: submit::ActionRequest) -> Self {
         Self {
             key: submit.key,
             service: submit.service.to_string(),
@@ -88,7 +88,7 @@
     }
 }
 
-impl From<Submit> for submit::Submit {
+impl From<Submit> for submit::ActionRequest {
     fn from(submit: Submit) -> Self {
         Self {
             key: submit.key,
@@ -100,8 +100,8 @@
     }
 }
 
-impl From<submit::Settled> for Settled {
-    fn from(settled: submit::Settled) -> Self {
+impl From<submit::ActionResponse> for Settled {
+    fn from(settled: submit::ActionResponse) -> Self {
         Self {
             outcome: settled.outcome.into(),
             cause: settled.cause.map(Into::into),
@@ -111,7 +111,7 @@
     }
 }
 
-impl From<Settled> for submit::Settled {
+impl From<Settled> for submit::ActionResponse {
     fn from(settled: Settled) -> Self {
         Self {
             outcome: settled.outcome.into(),
@@ -122,8 +122,8 @@
     }
 }
 
-impl From<record::Parcel> for Parcel {
-    fn from(parcel: record::Parcel) -> Self {
+impl From<record::HandoverBatch> for Parcel {
+    fn from(parcel: record::HandoverBatch) -> Self {
         Self {
             number: parcel.number,
             host: parcel.host.to_string(),
@@ -133,7 +133,7 @@
     }
 }
 
-impl From<Parcel> for record::Parcel {
+impl From<Parcel> for record::HandoverBatch {
     fn from(parcel: Parcel) -> Self {
         Self {
             number: parcel.number,
@@ -144,8 +144,8 @@
     }
 }
 
-impl From<record::Carried> for Carried {
-    fn from(carried: record::Carried) -> Self {
+impl From<record::HandoverRecord> for Carried {
+    fn from(carried: record::HandoverRecord) -> Self {
         let state = match carried.state {
             record::State::Unused => State::Unused,
             // Whoever takes over can't learn the result any more.
@@ -165,7 +165,7 @@
     }
 }
 
-impl From<Carried> for record::Carried {
+impl From<Carried> for record::HandoverRecord {
     fn from(carried: Carried) -> Self {
         let state = match carried.state {
             State::Unused => record::State::Unused,
