--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -9,7 +9,7 @@
 
 /// What a caller's request says of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The caller's id of this attempt; none if it named none.
     pub id: Option<Box<str>>,
     /// How long the caller waits; none if it did not say.
@@ -43,7 +43,7 @@
 /// How callers and backend servers spell things.
 pub trait Dialect: 'static {
     /// What a request's head says.
-    fn ask(&self, head: &request::Parts) -> Ask;
+    fn ask(&self, head: &request::Parts) -> RequestInfo;
 
     /// Marks a request for `backend`, which should give up after `left`.
     fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -1,7 +1,7 @@
 //! Callers' connections.
 
-use crate::dialect::Ask;
 use crate::dialect::Dialect;
+use crate::dialect::RequestInfo;
 use crate::ending::Ending;
 use crate::host::Host;
 use crate::host::Stage;
@@ -325,7 +325,7 @@
 }
 
 /// Puts a request into the log that was answered without being sent anywhere.
-fn turned_away<D, S>(host: &Host<D, S>, ask: &Ask, why: &'static str)
+fn turned_away<D, S>(host: &Host<D, S>, ask: &RequestInfo, why: &'static str)
 where
     D: Dialect,
     S: Source,
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -19,10 +19,10 @@
 use lentillift_gateway::daemon;
 use lentillift_gateway::daemon::Settings;
 use lentillift_gateway::daemon::Tuning;
-use lentillift_gateway::dialect::Ask;
 use lentillift_gateway::dialect::Dialect;
 use lentillift_gateway::dialect::Mark;
 use lentillift_gateway::dialect::Ran;
+use lentillift_gateway::dialect::RequestInfo;
 use lentillift_gateway::front;
 use lentillift_gateway::host::Host;
 use lentillift_gateway::listen;
@@ -67,9 +67,9 @@
 }
 
 impl Dialect for Plain {
-    fn ask(&self, head: &request::Parts) -> Ask {
+    fn ask(&self, head: &request::Parts) -> RequestInfo {
         let left = text(&head.headers, "x-left").and_then(|ms| ms.parse().ok());
-        Ask {
+        RequestInfo {
             id: text(&head.headers, "x-id"),
             patience: left.map(Duration::from_millis),
         }
