--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -13,7 +13,7 @@
     /// The caller's id of this attempt; none if it named none.
     pub id: Option<Box<str>>,
     /// How long the caller waits; none if it did not say.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 /// Whether a backend server ran a request.
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -252,7 +252,7 @@
 {
     let (mut head, body) = request.into_parts();
     let ask = host.dialect.ask(&head);
-    let most = ask.patience.unwrap_or(UNKNOWN_PATIENCE) / 2;
+    let most = ask.timeout.unwrap_or(UNKNOWN_PATIENCE) / 2;
     host.catch_up(most).await;
     let view = host.core.borrow().view.clone();
     let Some(view) = view else {
@@ -270,7 +270,7 @@
     };
     let limits = found.view.config.limits;
     let body = Limited::new(body, limits.body_bytes).collect();
-    let left = ask.patience.unwrap_or(found.route.timeout);
+    let left = ask.timeout.unwrap_or(found.route.timeout);
     let body = match tokio::time::timeout(left, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         failed => {
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -71,7 +71,7 @@
         let left = text(&head.headers, "x-left").and_then(|ms| ms.parse().ok());
         RequestInfo {
             id: text(&head.headers, "x-id"),
-            patience: left.map(Duration::from_millis),
+            timeout: left.map(Duration::from_millis),
         }
     }
 
