--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -18,7 +18,7 @@
 
 /// Whether a backend server ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ran {
+pub enum Executed {
     /// It may have.
     Maybe,
     /// It certainly did not.
@@ -33,7 +33,7 @@
     /// Id of the attempt that it answers; none if it names none.
     pub id: Option<Box<str>>,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: Executed,
     /// The server's signature under its reply.
     pub signature: Option<Box<str>>,
     /// The server's load.
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -5,8 +5,8 @@
 //! counts as lost; the caller gets another server's reply, or an error.
 
 use crate::dialect::Dialect;
+use crate::dialect::Executed;
 use crate::dialect::Mark;
-use crate::dialect::Ran;
 use crate::host::Host;
 use crate::message::Message;
 use crate::metric;
@@ -164,9 +164,9 @@
 
 fn worth(mark: &Mark, message: &Message, response: &Response<Bytes>) -> Worth {
     match mark.ran {
-        Ran::Misdirected => return Worth::Misdirected,
-        Ran::No => return Worth::NotRun,
-        Ran::Maybe => {}
+        Executed::Misdirected => return Worth::Misdirected,
+        Executed::No => return Worth::NotRun,
+        Executed::Maybe => {}
     }
     if mark.id.as_ref().is_some_and(|id| *id != message.id) {
         return Worth::Nothing("answers another request");
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -20,8 +20,8 @@
 use lentillift_gateway::daemon::Settings;
 use lentillift_gateway::daemon::Tuning;
 use lentillift_gateway::dialect::Dialect;
+use lentillift_gateway::dialect::Executed;
 use lentillift_gateway::dialect::Mark;
-use lentillift_gateway::dialect::Ran;
 use lentillift_gateway::dialect::RequestInfo;
 use lentillift_gateway::front;
 use lentillift_gateway::host::Host;
@@ -82,9 +82,9 @@
 
     fn mark(&self, head: &response::Parts) -> Mark {
         let ran = match () {
-            () if head.status == StatusCode::MISDIRECTED_REQUEST => Ran::Misdirected,
-            () if head.headers.contains_key("x-not-run") => Ran::No,
-            () => Ran::Maybe,
+            () if head.status == StatusCode::MISDIRECTED_REQUEST => Executed::Misdirected,
+            () if head.headers.contains_key("x-not-run") => Executed::No,
+            () => Executed::Maybe,
         };
         Mark {
             id: text(&head.headers, "x-id"),
