--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -33,7 +33,7 @@
     /// Id of the attempt that it answers; none if it names none.
     pub id: Option<Box<str>>,
     /// Whether the request ran.
-    pub ran: Executed,
+    pub executed: Executed,
     /// The server's signature under its reply.
     pub signature: Option<Box<str>>,
     /// The server's load.
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -163,7 +163,7 @@
 }
 
 fn worth(mark: &Mark, message: &Message, response: &Response<Bytes>) -> Worth {
-    match mark.ran {
+    match mark.executed {
         Executed::Misdirected => return Worth::Misdirected,
         Executed::No => return Worth::NotRun,
         Executed::Maybe => {}
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -88,7 +88,7 @@
         };
         Mark {
             id: text(&head.headers, "x-id"),
-            ran,
+            executed: ran,
             signature: text(&head.headers, "x-signature"),
             load: None,
         }
