--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -29,7 +29,7 @@
 
 /// What a backend server's reply says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mark {
+pub struct ReplyInfo {
     /// Id of the attempt that it answers; none if it names none.
     pub id: Option<Box<str>>,
     /// Whether the request ran.
@@ -49,7 +49,7 @@
     fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
 
     /// What a reply's head says.
-    fn mark(&self, head: &response::Parts) -> Mark;
+    fn mark(&self, head: &response::Parts) -> ReplyInfo;
 
     /// Marks an answer that was merged from the parts with these signatures and lacks `missing`.
     fn merged(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize);
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use crate::dialect::Dialect;
 use crate::dialect::Executed;
-use crate::dialect::Mark;
+use crate::dialect::ReplyInfo;
 use crate::host::Host;
 use crate::message::Message;
 use crate::metric;
@@ -138,7 +138,7 @@
     }
 }
 
-fn whole(outcome: Outcome, mark: Mark, response: Response<Bytes>) -> Ended {
+fn whole(outcome: Outcome, mark: ReplyInfo, response: Response<Bytes>) -> Ended {
     let why = match &outcome {
         Outcome::Part { .. } => "whole",
         _ => "the server's own failure",
@@ -162,7 +162,7 @@
     Nothing(&'static str),
 }
 
-fn worth(mark: &Mark, message: &Message, response: &Response<Bytes>) -> Worth {
+fn worth(mark: &ReplyInfo, message: &Message, response: &Response<Bytes>) -> Worth {
     match mark.executed {
         Executed::Misdirected => return Worth::Misdirected,
         Executed::No => return Worth::NotRun,
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -21,7 +21,7 @@
 use lentillift_gateway::daemon::Tuning;
 use lentillift_gateway::dialect::Dialect;
 use lentillift_gateway::dialect::Executed;
-use lentillift_gateway::dialect::Mark;
+use lentillift_gateway::dialect::ReplyInfo;
 use lentillift_gateway::dialect::RequestInfo;
 use lentillift_gateway::front;
 use lentillift_gateway::host::Host;
@@ -80,13 +80,13 @@
         headers.insert("x-left", (left.as_millis() as u64).into());
     }
 
-    fn mark(&self, head: &response::Parts) -> Mark {
+    fn mark(&self, head: &response::Parts) -> ReplyInfo {
         let ran = match () {
             () if head.status == StatusCode::MISDIRECTED_REQUEST => Executed::Misdirected,
             () if head.headers.contains_key("x-not-run") => Executed::No,
             () => Executed::Maybe,
         };
-        Mark {
+        ReplyInfo {
             id: text(&head.headers, "x-id"),
             executed: ran,
             signature: text(&head.headers, "x-signature"),
