--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -6,7 +6,7 @@
 use crate::host::Host;
 use crate::metric;
 use crate::source::Source;
-use crate::source::Watched;
+use crate::source::WatchResult;
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
 use lentillift_core::error::Step;
@@ -80,7 +80,7 @@
     }
     let asked = host.now();
     let wait = host.news.next_watch(host.age().unwrap_or_default());
-    let Watched::Changes(news) = watch(host, after, wait).await? else {
+    let WatchResult::Changes(news) = watch(host, after, wait).await? else {
         return read(host).await;
     };
     let passed = host.now().saturating_sub(asked);
@@ -92,7 +92,7 @@
     Ok((news, age))
 }
 
-async fn watch<D, S>(host: &Host<D, S>, after: id::Revision, wait: Duration) -> Result<Watched>
+async fn watch<D, S>(host: &Host<D, S>, after: id::Revision, wait: Duration) -> Result<WatchResult>
 where
     D: Dialect,
     S: Source,
--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -10,7 +10,7 @@
 
 /// What a wait for changes brought.
 #[derive(Debug)]
-pub enum Watched {
+pub enum WatchResult {
     /// What changed, possibly nothing.
     Changes(News),
     /// The history after the revision is gone: read everything.
@@ -40,7 +40,7 @@
         after: id::Revision,
         wait: Duration,
         silence: Duration,
-    ) -> impl Future<Output = Result<Watched>>;
+    ) -> impl Future<Output = Result<WatchResult>>;
 
     /// Says what an item means.
     fn decode(&self, item: &Item) -> Meaning;
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -28,7 +28,7 @@
 use lentillift_gateway::listen;
 use lentillift_gateway::quarantine;
 use lentillift_gateway::source::Source;
-use lentillift_gateway::source::Watched;
+use lentillift_gateway::source::WatchResult;
 use lentillift_scatter::budget;
 use lentillift_scatter::config::Config;
 use lentillift_scatter::config::Kind;
@@ -146,17 +146,17 @@
         after: id::Revision,
         wait: Duration,
         _silence: Duration,
-    ) -> Result<Watched> {
+    ) -> Result<WatchResult> {
         self.turn_away()?;
         if self.is_silent.replace(false) {
             std::future::pending::<()>().await;
         }
         if let Some(news) = self.news.take() {
-            return Ok(Watched::Changes(news));
+            return Ok(WatchResult::Changes(news));
         }
         tokio::time::sleep(wait).await;
         self.leave().await;
-        Ok(Watched::Changes(News::Changes {
+        Ok(WatchResult::Changes(News::Changes {
             revision: after,
             items: Vec::new(),
         }))
