--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -14,7 +14,7 @@
     /// What changed, possibly nothing.
     Changes(News),
     /// The history after the revision is gone: read everything.
-    Forgotten,
+    Compacted,
 }
 
 /// A service that publishes items under keys, with revisions.
