--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -81,7 +81,7 @@
     /// Where callers connect.
     pub front: SocketAddr,
     /// Connections of callers at a time.
-    pub callers: usize,
+    pub max_callers: usize,
     /// Where the balancer asks whether callers should be sent here.
     pub ready: SocketAddr,
     /// Where other hosts connect, by TCP and UDP.
@@ -173,7 +173,7 @@
     tokio::task::spawn_local(quarantine::spread(host.clone()));
     tokio::task::spawn_local(keep_house(host.clone(), socket.clone()));
     tokio::task::spawn_local(watch_settings(host.clone(), hangup, reload));
-    tokio::task::spawn_local(front::serve(host.clone(), front, settings.callers));
+    tokio::task::spawn_local(front::serve(host.clone(), front, settings.max_callers));
     term.recv().await;
     end(&host, &socket, settings.grace).await;
     Ok(())
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -240,7 +240,7 @@
         domain: domain.into(),
         regions: BTreeMap::from([("a".into(), "r".into()), ("b".into(), "r".into())]),
         front: unused,
-        callers: MOST_CALLERS,
+        max_callers: MOST_CALLERS,
         ready: unused,
         node,
         inbound: node,
