--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -93,7 +93,7 @@
     /// What may change while the process runs.
     pub tuning: Tuning,
     /// How soon news has to be in force.
-    pub news: follow::Options,
+    pub freshness: follow::Options,
     /// Time from the signal to end until the process is killed.
     pub grace: Duration,
 }
@@ -229,7 +229,7 @@
         swim: RefCell::new(swim),
         proved: Cell::new(None),
         away: Cell::new(None),
-        news: settings.news,
+        news: settings.freshness,
         steady: Cell::new(true),
         origin: RefCell::new(None),
         way: RefCell::new(Way::default()),
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -257,7 +257,7 @@
                 ..Options::default()
             },
         },
-        news: follow::Options::default(),
+        freshness: follow::Options::default(),
         grace: Duration::from_secs(5),
     };
     daemon::make(&settings, Plain, source)
