--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -11,7 +11,7 @@
 use crate::metric;
 use crate::part::Content;
 use crate::part::Done;
-use crate::pool::tune;
+use crate::pool::set_socket_options;
 use crate::run;
 use crate::source::Source;
 use bytes::Bytes;
@@ -117,7 +117,7 @@
     D: Dialect,
     S: Source,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let limits = limits(&host);
     let mut stage = host.stage.subscribe();
     let shared = host.clone();
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::memory;
 use crate::metric;
-use crate::pool::tune;
+use crate::pool::set_socket_options;
 use crate::quarantine;
 use crate::source::Source;
 use bytes::Bytes;
@@ -165,7 +165,7 @@
     D: Dialect,
     S: Source,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
         let host = host.clone();
         async move { Ok::<_, Infallible>(serve_node(host, request).await) }
--- a/crates/lentillift-gateway/src/peer.rs
+++ b/crates/lentillift-gateway/src/peer.rs
@@ -2,7 +2,7 @@
 
 use crate::frame;
 use crate::local::Executor;
-use crate::pool::tune;
+use crate::pool::set_socket_options;
 use bytes::Bytes;
 use http::Request;
 use http::Response;
@@ -110,7 +110,7 @@
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| fail(&"timed out"))?;
     let stream = stream.map_err(|e| fail(&e))?;
-    tune(&stream);
+    set_socket_options(&stream);
     let shaken = http2::Builder::new(Executor)
         .initial_stream_window_size(WINDOW)
         .initial_connection_window_size(WINDOW)
--- a/crates/lentillift-gateway/src/pool.rs
+++ b/crates/lentillift-gateway/src/pool.rs
@@ -173,7 +173,7 @@
             Err(_) => return Err(Failure::Unsent("connection timed out")),
         };
         self.opened.set(self.opened.get() + 1);
-        tune(&stream);
+        set_socket_options(&stream);
         let shaken = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = shaken.map_err(|_| Failure::Unsent("handshake failed"))?;
         tokio::task::spawn_local(async move {
@@ -225,7 +225,7 @@
 }
 
 /// Sets what every connection within the system's reach needs.
-pub fn tune(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     // Both only make failures show sooner; a connection works without.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE));
