--- a/crates/lentillift-gateway/src/log.rs
+++ b/crates/lentillift-gateway/src/log.rs
@@ -62,7 +62,7 @@
     }
 
     /// Waits until what was logged so far has been written, before the process ends.
-    pub fn settle(&self) {
+    pub fn wait_until_written(&self) {
         std::thread::sleep(GATHER * 3);
     }
 
