--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -43,7 +43,7 @@
 /// How callers and backend servers spell things.
 pub trait Dialect: 'static {
     /// What a request's head says.
-    fn ask(&self, head: &request::Parts) -> RequestInfo;
+    fn parse_request(&self, head: &request::Parts) -> RequestInfo;
 
     /// Marks a request for `backend`, which should give up after `left`.
     fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -251,7 +251,7 @@
     S: Source,
 {
     let (mut head, body) = request.into_parts();
-    let ask = host.dialect.ask(&head);
+    let ask = host.dialect.parse_request(&head);
     let most = ask.timeout.unwrap_or(UNKNOWN_PATIENCE) / 2;
     host.catch_up(most).await;
     let view = host.core.borrow().view.clone();
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -67,7 +67,7 @@
 }
 
 impl Dialect for Plain {
-    fn ask(&self, head: &request::Parts) -> RequestInfo {
+    fn parse_request(&self, head: &request::Parts) -> RequestInfo {
         let left = text(&head.headers, "x-left").and_then(|ms| ms.parse().ok());
         RequestInfo {
             id: text(&head.headers, "x-id"),
