--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -49,7 +49,7 @@
     fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
 
     /// What a reply's head says.
-    fn mark(&self, head: &response::Parts) -> ReplyInfo;
+    fn parse_reply(&self, head: &response::Parts) -> ReplyInfo;
 
     /// Marks an answer that was merged from the parts with these signatures and lacks `missing`.
     fn merged(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize);
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -127,7 +127,7 @@
     D: Dialect,
 {
     let (head, body) = response.into_parts();
-    let mark = dialect.mark(&head);
+    let mark = dialect.parse_reply(&head);
     let response = Response::from_parts(head, body);
     match worth(&mark, message, &response) {
         Worth::Misdirected => Ended::without(Outcome::Misdirected, "another server's address"),
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -80,7 +80,7 @@
         headers.insert("x-left", (left.as_millis() as u64).into());
     }
 
-    fn mark(&self, head: &response::Parts) -> ReplyInfo {
+    fn parse_reply(&self, head: &response::Parts) -> ReplyInfo {
         let ran = match () {
             () if head.status == StatusCode::MISDIRECTED_REQUEST => Executed::Misdirected,
             () if head.headers.contains_key("x-not-run") => Executed::No,
