--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -46,7 +46,7 @@
     fn parse_request(&self, head: &request::Parts) -> RequestInfo;
 
     /// Marks a request for `backend`, which should give up after `left`.
-    fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
+    fn set_target_headers(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration);
 
     /// What a reply's head says.
     fn parse_reply(&self, head: &response::Parts) -> ReplyInfo;
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -77,7 +77,8 @@
     *request.headers_mut() = message.headers.clone();
     let backend = &server.entry.id;
     let left = send.left;
-    host.dialect.address(request.headers_mut(), backend, left);
+    host.dialect
+        .set_target_headers(request.headers_mut(), backend, left);
     let is_withheld = || is_withheld(host, message, send);
     let may_leave = || host.core.borrow().may_leave(server, host.now()) && !is_withheld();
     let exchange = host.pool.exchange(server, kind, request, may_leave);
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    fn address(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration) {
+    fn set_target_headers(&self, headers: &mut HeaderMap, backend: &id::Backend, left: Duration) {
         headers.insert("x-backend", backend.parse().expect("a header value"));
         headers.insert("x-left", (left.as_millis() as u64).into());
     }
