--- a/crates/lentillift-gateway/src/dialect.rs
+++ b/crates/lentillift-gateway/src/dialect.rs
@@ -52,5 +52,5 @@
     fn parse_reply(&self, head: &response::Parts) -> ReplyInfo;
 
     /// Marks an answer that was merged from the parts with these signatures and lacks `missing`.
-    fn merged(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize);
+    fn set_merged_headers(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize);
 }
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -370,7 +370,7 @@
     let signatures = done.parts.iter().flat_map(|part| part.signatures());
     let signatures: Vec<Box<str>> = signatures.collect();
     host.dialect
-        .merged(response.headers_mut(), &signatures, missing);
+        .set_merged_headers(response.headers_mut(), &signatures, missing);
     response
 }
 
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    fn merged(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize) {
+    fn set_merged_headers(&self, headers: &mut HeaderMap, signatures: &[Box<str>], missing: usize) {
         let parts = signatures.join(",");
         headers.insert("x-parts", parts.parse().expect("a header value"));
         headers.insert("x-missing", missing.into());
