--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -9,7 +9,7 @@
 mod wire;
 
 use crate::dialect::Dialect;
-use crate::exchange::Ended;
+use crate::exchange::ExchangeResult;
 use crate::frame;
 use crate::frame::Reader;
 use crate::host::Host;
@@ -29,7 +29,7 @@
 use lentillift_scatter::report::Report;
 use tracing::info;
 use wire::Answer;
-use wire::Slow;
+use wire::SlowBackend;
 
 /// Path of these requests.
 pub const PATH: &str = "/v2/branch";
@@ -45,32 +45,32 @@
 
 /// Answers of a host that has not told everything yet.
 #[derive(Debug)]
-pub struct Rest {
+pub struct PendingAnswers {
     reader: Reader<Answer>,
     send: Send,
-    until: Time,
+    deadline: Time,
     /// Legs of which nothing was heard.
-    open: usize,
+    open_legs: usize,
 }
 
 /// What one message of a host means.
 #[derive(Debug)]
-pub struct Told {
+pub struct BranchReply {
     /// For the decisions.
-    pub ended: Ended,
+    pub ended: ExchangeResult,
     /// Parts that it brought.
     pub merged: Option<Merged>,
     /// Whatever is still to come.
-    pub rest: Option<Rest>,
+    pub rest: Option<PendingAnswers>,
 }
 
-impl Told {
+impl BranchReply {
     fn without(outcome: Outcome, why: &'static str) -> Self {
         Self {
-            ended: Ended {
+            ended: ExchangeResult {
                 outcome,
                 reply: None,
-                why,
+                reason: why,
             },
             merged: None,
             rest: None,
@@ -79,21 +79,21 @@
 }
 
 /// Asks `to` for the legs of `send`; returns with its first message.
-pub async fn ask<D, S>(
+pub async fn request_branch<D, S>(
     host: &Host<D, S>,
     to: &id::Host,
     send: Send,
     services: Vec<String>,
     authority: &str,
     message: &Message,
-) -> Told
+) -> BranchReply
 where
     D: Dialect,
     S: Source,
 {
     let address = host.swim.borrow().table().get(to).map(|m| m.address);
     let Some(address) = address else {
-        return Told::without(Outcome::Unreachable, "host is not known");
+        return BranchReply::without(Outcome::Unreachable, "host is not known");
     };
     let asked = host.now();
     let until = asked + send.left;
@@ -102,9 +102,9 @@
         incarnation: host.swim.borrow().own().incarnation,
         at: asked,
     };
-    let question = wire::question(&send, services, authority, message, &stamp);
+    let question = wire::branch_request(&send, services, authority, message, &stamp);
     let Ok(body) = frame::encode(&question, to) else {
-        return Told::without(Outcome::Unreachable, "question can't be encoded");
+        return BranchReply::without(Outcome::Unreachable, "question can't be encoded");
     };
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = http::Method::POST;
@@ -113,22 +113,22 @@
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(e)) if e.step == Step::Connect => {
-            return Told::without(Outcome::Unreachable, "host can't be reached");
+            return BranchReply::without(Outcome::Unreachable, "host can't be reached");
         }
-        Ok(Err(_)) => return Told::without(Outcome::Broken, "host failed"),
+        Ok(Err(_)) => return BranchReply::without(Outcome::Broken, "host failed"),
         Err(_) => {
             host.peers.drop_connection(address);
-            return Told::without(Outcome::Broken, "host did not answer in time");
+            return BranchReply::without(Outcome::Broken, "host did not answer in time");
         }
     };
     if response.status() != StatusCode::OK {
-        return Told::without(Outcome::Unreachable, "host declined");
+        return BranchReply::without(Outcome::Unreachable, "host declined");
     }
-    let rest = Rest {
+    let rest = PendingAnswers {
         reader: Reader::new(to, response.into_body()),
-        open: send.legs.len(),
+        open_legs: send.legs.len(),
         send,
-        until,
+        deadline: until,
     };
     let told = rest.next(host).await;
     if told.ended.outcome == Outcome::Broken {
@@ -137,25 +137,25 @@
     told
 }
 
-impl Rest {
+impl PendingAnswers {
     /// Waits for the next message.
-    pub async fn next<D, S>(mut self, host: &Host<D, S>) -> Told
+    pub async fn next<D, S>(mut self, host: &Host<D, S>) -> BranchReply
     where
         D: Dialect,
         S: Source,
     {
-        let left = self.until.saturating_sub(host.now());
+        let left = self.deadline.saturating_sub(host.now());
         let answer = match tokio::time::timeout(left, self.reader.next(left)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(_)) | Err(_) => {
-                return Told::without(Outcome::Broken, "host did not tell everything");
+                return BranchReply::without(Outcome::Broken, "host did not tell everything");
             }
         };
         if !answer.slow.is_empty() {
-            hear(host, &self.reader, &answer.slow);
+            merge_reports(host, &self.reader, &answer.slow);
         }
         if let Some(account) = &answer.quarantine {
-            quarantine::hear(host, self.reader.peer(), std::slice::from_ref(account));
+            quarantine::merge_accounts(host, self.reader.peer(), std::slice::from_ref(account));
         }
         let legs = |places: &[u16]| -> Vec<usize> {
             let legs = places
@@ -171,27 +171,27 @@
             last: false,
         };
         let heard = brought.done.len() + brought.declined.len() + brought.failed.len();
-        self.open = self.open.saturating_sub(heard);
-        brought.last = self.open == 0;
+        self.open_legs = self.open_legs.saturating_sub(heard);
+        brought.last = self.open_legs == 0;
         let signatures = answer.parts.into_iter().map(|(_, text)| text.into());
         let merged = Merged {
             signatures: signatures.collect(),
             records: answer.records,
         };
-        Told {
+        BranchReply {
             merged: Some(merged),
             rest: (!brought.last).then_some(self),
-            ended: Ended {
+            ended: ExchangeResult {
                 outcome: Outcome::Branch(brought),
                 reply: None,
-                why: "told",
+                reason: "told",
             },
         }
     }
 }
 
 /// Takes in what another host says of slow backend servers.
-fn hear<D, S>(host: &Host<D, S>, from: &Reader<Answer>, slow: &[Slow])
+fn merge_reports<D, S>(host: &Host<D, S>, from: &Reader<Answer>, slow: &[SlowBackend])
 where
     D: Dialect,
     S: Source,
--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -1,13 +1,13 @@
 //! Answering another host that asks for shards with replicas in this failure domain.
 
 use super::wire::Answer;
-use super::wire::Question;
-use super::wire::Slow;
+use super::wire::BranchRequest;
+use super::wire::SlowBackend;
 use crate::dialect::Dialect;
 use crate::frame;
 use crate::host::Host;
 use crate::message::Message;
-use crate::part::Part;
+use crate::part::SendResult;
 use crate::quarantine::wire;
 use crate::run::Run;
 use crate::source::Source;
@@ -40,7 +40,7 @@
     D: Dialect,
     S: Source,
 {
-    let question: Question = frame::decode(body, "host")?;
+    let question: BranchRequest = frame::decode(body, "host")?;
     let delay = check_delay(host, &question)?;
     let branch = Branch::start(host, question, delay)?;
     Ok(frame::body(stream::unfold(
@@ -54,7 +54,7 @@
 
 /// How long a question was held up; declines one that was for so long that its caller may have left. The
 /// word of that would be held up as well, and backend servers would be at work for nobody.
-fn check_delay<D, S>(host: &Host<D, S>, question: &Question) -> Result<Duration>
+fn check_delay<D, S>(host: &Host<D, S>, question: &BranchRequest) -> Result<Duration>
 where
     D: Dialect,
     S: Source,
@@ -67,7 +67,7 @@
         return Ok(delay);
     }
     let cause = format!("question {} was held up for {delay:?}", question.id);
-    Err(Error::new(Step::Check, &question.from, cause))
+    Err(Error::new(Step::Check, &question.sender, cause))
 }
 
 /// Another host's question that is being answered.
@@ -78,11 +78,11 @@
 {
     run: Run<D, S>,
     /// When to tell for the first time what is here.
-    first: Time,
+    first_answer_at: Time,
     /// Records that the caller wants.
-    limit: usize,
+    max_records: usize,
     /// Shards that were told of.
-    told: Vec<bool>,
+    reported: Vec<bool>,
     /// Version of the configuration that this host goes by.
     config: Version,
     /// Age of what this host believed when it was asked.
@@ -94,7 +94,7 @@
     D: Dialect,
     S: Source,
 {
-    fn start(host: &Rc<Host<D, S>>, question: Question, delay: Duration) -> Result<Self> {
+    fn start(host: &Rc<Host<D, S>>, question: BranchRequest, delay: Duration) -> Result<Self> {
         let fail = |cause: &str| Error::new(Step::Check, "host", cause);
         let view = host.core.borrow().view.clone();
         let view = view.ok_or_else(|| fail("no configuration yet"))?;
@@ -112,16 +112,16 @@
             .iter()
             .map(|s| s.as_str().into())
             .collect();
-        let left = Duration::from_millis(question.left_ms.into());
+        let left = Duration::from_millis(question.timeout_ms.into());
         let deadline = now + left.saturating_sub(delay);
         let told = vec![false; services.len()];
         let plan = Plan::branch(&route, &view, services, now, deadline);
         let plan = plan.with(message.fingerprint);
         Ok(Self {
             run: Run::start(host, plan, Rc::new(message), question.authority.into()),
-            first: now + Duration::from_millis(question.first_ms.into()),
-            limit,
-            told,
+            first_answer_at: now + Duration::from_millis(question.first_answer_ms.into()),
+            max_records: limit,
+            reported: told,
             config: view.config.version,
             age: host.age().unwrap_or_default(),
         })
@@ -130,22 +130,22 @@
     /// The next message; none once every shard was told of.
     async fn next(&mut self) -> Option<Bytes> {
         loop {
-            let open = self.told.iter().filter(|told| !**told).count();
+            let open = self.reported.iter().filter(|told| !**told).count();
             if open == 0 {
-                self.run.settle();
+                self.run.mark_finished();
                 return None;
             }
-            let news = self.news();
+            let news = self.unreported();
             let ready = news.iter().flatten().count();
             let declined = news.contains(&Some(State::Declined));
             let now = self.run.now();
             let deadline = self.run.query().plan().deadline;
-            let early = now >= self.first || declined;
+            let early = now >= self.first_answer_at || declined;
             if ready == open || now >= deadline || (early && ready > 0) {
-                return self.tell(&news, now >= deadline);
+                return self.encode_answer(&news, now >= deadline);
             }
-            let until = if now < self.first {
-                self.first
+            let until = if now < self.first_answer_at {
+                self.first_answer_at
             } else {
                 deadline
             };
@@ -154,40 +154,40 @@
     }
 
     /// How far each shard has come that was not told of and is not open.
-    fn news(&self) -> Vec<Option<State>> {
-        let states = self.run.query().states().zip(&self.told);
+    fn unreported(&self) -> Vec<Option<State>> {
+        let states = self.run.query().states().zip(&self.reported);
         states
             .map(|(state, told)| (!told && state != State::Open).then_some(state))
             .collect()
     }
 
     /// What to tell of slow backend servers; nothing after the first message.
-    fn slow(&self) -> Vec<Slow> {
-        if self.told.contains(&true) {
+    fn slow_reports(&self) -> Vec<SlowBackend> {
+        if self.reported.contains(&true) {
             return Vec::new();
         }
         let reports = self.run.reports();
-        reports.iter().map(Slow::from).collect()
+        reports.iter().map(SlowBackend::from).collect()
     }
 
     /// Tells what is new; once the time is `over`, what is open has failed.
-    fn tell(&mut self, news: &[Option<State>], over: bool) -> Option<Bytes> {
+    fn encode_answer(&mut self, news: &[Option<State>], over: bool) -> Option<Bytes> {
         let mut answer = Answer {
-            slow: self.slow(),
+            slow: self.slow_reports(),
             quarantine: self.run.account().as_ref().map(wire::Account::from),
             ..Answer::default()
         };
-        let mut parts: Vec<Part> = Vec::new();
+        let mut parts: Vec<SendResult> = Vec::new();
         for (shard, state) in news.iter().enumerate() {
             let place = shard as u16;
-            if self.told[shard] || (state.is_none() && !over) {
+            if self.reported[shard] || (state.is_none() && !over) {
                 continue;
             }
-            self.told[shard] = true;
+            self.reported[shard] = true;
             match state {
                 Some(State::Done(number)) => {
-                    let part = self.run.take(*number);
-                    match part.as_ref().and_then(Part::signature) {
+                    let part = self.run.take_part(*number);
+                    match part.as_ref().and_then(SendResult::signature) {
                         Some(signature) => answer.parts.push((place, signature.to_owned())),
                         None => answer.failed.push(place),
                     }
@@ -212,8 +212,8 @@
                 "told another host"
             );
         }
-        let records = parts.iter().map(Part::records);
-        answer.records = record::merge(records, self.limit).to_vec();
+        let records = parts.iter().map(SendResult::records);
+        answer.records = record::merge(records, self.max_records).to_vec();
         frame::frame(&answer, "host").ok()
     }
 }
--- a/crates/lentillift-gateway/src/branch/wire.rs
+++ b/crates/lentillift-gateway/src/branch/wire.rs
@@ -18,7 +18,7 @@
 
 /// What a host is asked, as it stands on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub(super) struct Question {
+pub(super) struct BranchRequest {
     pub(super) id: String,
     pub(super) method: String,
     pub(super) path: String,
@@ -28,15 +28,15 @@
     pub(super) authority: String,
     pub(super) services: Vec<String>,
     /// Who asks.
-    pub(super) from: String,
+    pub(super) sender: String,
     /// The asking process, whose clock the next field goes by.
     pub(super) incarnation: u64,
     /// Time at which it was asked, by the asking process's clock.
-    pub(super) asked_us: u64,
+    pub(super) sent_us: u64,
     /// When to tell for the first time what is here.
-    pub(super) first_ms: u32,
+    pub(super) first_answer_ms: u32,
     /// When to give up.
-    pub(super) left_ms: u32,
+    pub(super) timeout_ms: u32,
 }
 
 /// What a host answers, as it stands on the wire; several follow each other.
@@ -51,66 +51,66 @@
     /// Places of the shards whose send brought nothing.
     pub(super) failed: Vec<u16>,
     /// Backend servers that are slow, in the first message.
-    pub(super) slow: Vec<Slow>,
+    pub(super) slow: Vec<SlowBackend>,
     /// What is held of the request, if servers ended under it.
     pub(super) quarantine: Option<wire::Account>,
 }
 
 /// What a host has learnt of a slow backend server, as it stands on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub(super) struct Slow {
+pub(super) struct SlowBackend {
     pub(super) backend: String,
     /// Its reply time in hundredths of the usual one.
-    pub(super) slowness: u16,
+    pub(super) slowness_percent: u16,
     /// Percentage of its requests that failed.
-    pub(super) failing: u8,
+    pub(super) failing_percent: u8,
     /// Time since this was learnt.
     pub(super) age_ms: u32,
 }
 
-impl From<&Report> for Slow {
+impl From<&Report> for SlowBackend {
     fn from(report: &Report) -> Self {
         Self {
             backend: report.backend.to_string(),
-            slowness: (report.slowness * 100.0) as u16,
-            failing: (report.failing * 100.0) as u8,
+            slowness_percent: (report.slowness * 100.0) as u16,
+            failing_percent: (report.failing * 100.0) as u8,
             age_ms: u32::try_from(report.age.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
 
-impl From<&Slow> for Report {
-    fn from(slow: &Slow) -> Self {
+impl From<&SlowBackend> for Report {
+    fn from(slow: &SlowBackend) -> Self {
         Self {
             backend: slow.backend.as_str().into(),
-            slowness: f64::from(slow.slowness) / 100.0,
-            failing: f64::from(slow.failing) / 100.0,
+            slowness: f64::from(slow.slowness_percent) / 100.0,
+            failing: f64::from(slow.failing_percent) / 100.0,
             age: Duration::from_millis(slow.age_ms.into()),
         }
     }
 }
 
-impl From<&Question> for Stamp {
-    fn from(question: &Question) -> Self {
+impl From<&BranchRequest> for Stamp {
+    fn from(question: &BranchRequest) -> Self {
         Self {
-            host: question.from.as_str().into(),
+            host: question.sender.as_str().into(),
             incarnation: question.incarnation,
-            at: Duration::from_micros(question.asked_us),
+            at: Duration::from_micros(question.sent_us),
         }
     }
 }
 
 /// The question that a send makes of a caller's request, asked at the time of `stamp`.
-pub(super) fn question(
+pub(super) fn branch_request(
     send: &Send,
     services: Vec<String>,
     authority: &str,
     message: &Message,
     stamp: &Stamp,
-) -> Question {
+) -> BranchRequest {
     let headers = message.headers.iter();
     let headers = headers.map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
-    Question {
+    BranchRequest {
         id: message.id.to_string(),
         method: message.method.to_string(),
         path: message.path.to_string(),
@@ -118,18 +118,18 @@
         body: message.body.to_vec(),
         authority: authority.to_owned(),
         services,
-        from: stamp.host.to_string(),
+        sender: stamp.host.to_string(),
         incarnation: stamp.incarnation,
-        asked_us: stamp.at.as_micros() as u64,
-        first_ms: send.first.as_millis() as u32,
-        left_ms: send.left.as_millis() as u32,
+        sent_us: stamp.at.as_micros() as u64,
+        first_answer_ms: send.first.as_millis() as u32,
+        timeout_ms: send.left.as_millis() as u32,
     }
 }
 
-impl TryFrom<&Question> for Message {
+impl TryFrom<&BranchRequest> for Message {
     type Error = Error;
 
-    fn try_from(question: &Question) -> Result<Self> {
+    fn try_from(question: &BranchRequest) -> Result<Self> {
         let fail = |e: &dyn std::fmt::Display| Error::new(Step::Decode, "host", e);
         let mut headers = HeaderMap::new();
         for (name, value) in &question.headers {
@@ -137,7 +137,7 @@
             let value = HeaderValue::from_bytes(value).map_err(|e| fail(&e))?;
             headers.append(name, value);
         }
-        let Question {
+        let BranchRequest {
             method,
             path,
             authority,
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -9,7 +9,7 @@
 use crate::listen::Audience;
 use crate::member;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Registry;
 use crate::peer::Peers;
 use crate::pool::Pool;
 use crate::quarantine;
@@ -54,10 +54,10 @@
 use tracing::warn;
 
 /// Time between two looks at what has expired.
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
+const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(250);
 
 /// Time beyond its sleep after which a process that did nothing says so.
-const STALL: Duration = Duration::from_millis(500);
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the settings file, which may change without a signal.
 const SETTINGS_PERIOD: Duration = Duration::from_secs(1);
@@ -153,7 +153,7 @@
     let socket = UdpSocket::bind(settings.node).await;
     let socket =
         Rc::new(socket.map_err(|e| Error::new(Step::Listen, format!("udp {}", settings.node), e))?);
-    let host = make(&settings, dialect, source);
+    let host = new_host(&settings, dialect, source);
     for mechanism in settings.tuning.options.switches.off() {
         info!(
             event = "start",
@@ -164,23 +164,31 @@
     info!(event = "start", host = %host.name, domain = %host.domain, front = %settings.front, "up");
     if let Some(address) = settings.metrics {
         let listener = bind(address).await?;
-        tokio::task::spawn_local(listen::plain(host.clone(), listener, Audience::Operators));
+        tokio::task::spawn_local(listen::serve_operations(
+            host.clone(),
+            listener,
+            Audience::Operators,
+        ));
     }
-    tokio::task::spawn_local(listen::plain(host.clone(), ready, Audience::Balancer));
-    tokio::task::spawn_local(listen::nodes(host.clone(), inbound));
+    tokio::task::spawn_local(listen::serve_operations(
+        host.clone(),
+        ready,
+        Audience::Balancer,
+    ));
+    tokio::task::spawn_local(listen::serve_hosts(host.clone(), inbound));
     tokio::task::spawn_local(member::run(host.clone(), socket.clone()));
     tokio::task::spawn_local(feed::follow(host.clone()));
-    tokio::task::spawn_local(quarantine::spread(host.clone()));
-    tokio::task::spawn_local(keep_house(host.clone(), socket.clone()));
+    tokio::task::spawn_local(quarantine::gossip(host.clone()));
+    tokio::task::spawn_local(housekeeping(host.clone(), socket.clone()));
     tokio::task::spawn_local(watch_settings(host.clone(), hangup, reload));
     tokio::task::spawn_local(front::serve(host.clone(), front, settings.max_callers));
     term.recv().await;
-    end(&host, &socket, settings.grace).await;
+    shut_down(&host, &socket, settings.grace).await;
     Ok(())
 }
 
 /// Makes what the tasks of a process share.
-pub fn make<D, S>(settings: &Settings, dialect: D, source: S) -> Rc<Host<D, S>>
+pub fn new_host<D, S>(settings: &Settings, dialect: D, source: S) -> Rc<Host<D, S>>
 where
     D: Dialect,
     S: Source,
@@ -223,21 +231,21 @@
         source,
         pool: Pool::default(),
         peers: Peers::default(),
-        board: Board::default(),
+        metrics: Registry::default(),
         core: RefCell::new(core),
         catalog: RefCell::new(Catalog::default()),
         swim: RefCell::new(swim),
-        proved: Cell::new(None),
-        away: Cell::new(None),
-        news: settings.freshness,
-        steady: Cell::new(true),
+        verified_at: Cell::new(None),
+        outage_at: Cell::new(None),
+        freshness: settings.freshness,
+        origin_reachable: Cell::new(true),
         origin: RefCell::new(None),
-        way: RefCell::new(Way::default()),
+        path: RefCell::new(Way::default()),
         roster: RefCell::new(Roster::default()),
         quarantine_changed: Notify::new(),
         delays: RefCell::new(Delays::default()),
-        callers: Cell::new(0),
-        told: RefCell::new(None),
+        caller_connections: Cell::new(0),
+        last_update: RefCell::new(None),
         followers: Cell::new(0),
         changed: watch::Sender::new(0),
         stage: watch::Sender::new(Stage::Serving),
@@ -246,30 +254,38 @@
 
 /// Ends without cutting a request off: callers stop being sent here, then connections without a
 /// request are closed, then the rest are answered.
-async fn end<D, S>(host: &Host<D, S>, socket: &UdpSocket, grace: Duration)
+async fn shut_down<D, S>(host: &Host<D, S>, socket: &UdpSocket, grace: Duration)
 where
     D: Dialect,
     S: Source,
 {
-    info!(event = "stop", callers = host.callers.get(), "leaving");
+    info!(
+        event = "stop",
+        callers = host.caller_connections.get(),
+        "leaving"
+    );
     let began = host.now();
     host.stage.send_replace(Stage::Leaving);
     let effects = host.swim.borrow_mut().leave();
-    member::act(host, socket, effects);
+    member::apply_effects(host, socket, effects);
     tokio::time::sleep(grace.mul_f64(LEAVING_SHARE)).await;
     host.stage.send_replace(Stage::Closing);
     let deadline = began + grace.saturating_sub(END_MARGIN);
-    while host.callers.get() > 0 && host.now() < deadline {
-        tokio::time::sleep(HOUSEKEEPING / 5).await;
+    while host.caller_connections.get() > 0 && host.now() < deadline {
+        tokio::time::sleep(HOUSEKEEPING_PERIOD / 5).await;
     }
     let effects = host.swim.borrow_mut().end();
-    member::act(host, socket, effects);
+    member::apply_effects(host, socket, effects);
     host.stage.send_replace(Stage::Over);
-    info!(event = "stop", callers = host.callers.get(), "ended");
+    info!(
+        event = "stop",
+        callers = host.caller_connections.get(),
+        "ended"
+    );
 }
 
 /// Lets go of what has expired, and says when this process can take callers.
-async fn keep_house<D, S>(host: Rc<Host<D, S>>, socket: Rc<UdpSocket>)
+async fn housekeeping<D, S>(host: Rc<Host<D, S>>, socket: Rc<UdpSocket>)
 where
     D: Dialect,
     S: Source,
@@ -280,19 +296,19 @@
     let mut changed = host.changed.subscribe();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(HOUSEKEEPING) => {}
+            () = tokio::time::sleep(HOUSEKEEPING_PERIOD) => {}
             // The first configuration is what callers of a fleet that starts anew are waiting for.
             _ = changed.changed(), if !serving => {}
         }
         let now = host.now();
-        note_stall(now.saturating_sub(last));
+        log_stall(now.saturating_sub(last));
         last = now;
-        outdated = note_outdated(&host, outdated);
-        host.take_place();
+        outdated = log_outdated(&host, outdated);
+        host.update_share();
         host.core.borrow_mut().forget(now);
         let expired = host.catalog.borrow_mut().expire(now);
         if expired {
-            host.redraw();
+            host.publish_view();
         }
         let view = host.core.borrow().view.clone();
         if let Some(view) = view {
@@ -310,11 +326,11 @@
                     "taking callers"
                 );
                 let effects = host.swim.borrow_mut().serve();
-                member::act(&host, &socket, effects);
-                host.count_hosts();
+                member::apply_effects(&host, &socket, effects);
+                host.update_hosts();
             }
         }
-        let board = &host.board;
+        let board = &host.metrics;
         board.gauge(metric::OPENED, host.pool.opened() as f64);
         board.gauge(metric::IDLE, host.pool.idle() as f64);
         let age = host.age().map_or(-1.0, |age| age.as_secs_f64());
@@ -328,9 +344,9 @@
 
 /// Logs that this process did nothing for longer than it meant to sleep, as when its host stands still or
 /// has no processor time left.
-fn note_stall(passed: Duration) {
-    let late = passed.saturating_sub(HOUSEKEEPING);
-    if late >= STALL {
+fn log_stall(passed: Duration) {
+    let late = passed.saturating_sub(HOUSEKEEPING_PERIOD);
+    if late >= STALL_THRESHOLD {
         warn!(
             event = "stall",
             late_ms = late.as_millis() as u64,
@@ -341,7 +357,7 @@
 
 /// Logs when what is believed becomes older than the bound on news, and when it no longer is; says whether
 /// it is now.
-fn note_outdated<D, S>(host: &Host<D, S>, was_outdated: bool) -> bool
+fn log_outdated<D, S>(host: &Host<D, S>, was_outdated: bool) -> bool
 where
     D: Dialect,
     S: Source,
@@ -349,11 +365,11 @@
     let Some(age) = host.age() else {
         return false;
     };
-    let is_outdated = age > host.news.bound;
+    let is_outdated = age > host.freshness.bound;
     let age_ms = age.as_millis() as u64;
     let origin = host.origin.borrow();
     if is_outdated && !was_outdated {
-        host.board.add(metric::OUTDATED, 1);
+        host.metrics.add(metric::OUTDATED, 1);
         warn!(event = "age", age_ms, ?origin, "older than the bound");
     } else if was_outdated && !is_outdated {
         info!(event = "age", age_ms, ?origin, "within the bound again");
--- a/crates/lentillift-gateway/src/ending.rs
+++ b/crates/lentillift-gateway/src/ending.rs
@@ -1,6 +1,6 @@
 //! How a request ended, for the log.
 
-use crate::part::Done;
+use crate::part::RequestResult;
 use http::StatusCode;
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_scatter::config::Route;
@@ -10,7 +10,7 @@
 use tracing::info;
 
 /// How a request ended and what decided it, for the log.
-pub(crate) struct Ending {
+pub(crate) struct RequestLog {
     pub(crate) id: Box<str>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) route: Arc<Route>,
@@ -21,12 +21,12 @@
     pub(crate) left: Duration,
     pub(crate) config: Version,
     pub(crate) age: Duration,
-    pub(crate) done: Done,
+    pub(crate) done: RequestResult,
 }
 
-impl Ending {
+impl RequestLog {
     /// Puts it into the log.
-    pub(crate) fn tell(&self) {
+    pub(crate) fn log(&self) {
         let missing = self.done.missing.iter().map(|service| &**service);
         let missing: Vec<&str> = missing.collect();
         info!(
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -27,7 +27,7 @@
 use tracing::info;
 
 /// Time beyond a server's limit after which its reply is no longer awaited.
-const SLACK: Duration = Duration::from_millis(30);
+const REPLY_SLACK: Duration = Duration::from_millis(30);
 
 /// A whole reply of a backend server.
 #[derive(Debug)]
@@ -40,21 +40,21 @@
 
 /// How an exchange ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct ExchangeResult {
     /// For the decisions.
     pub outcome: Outcome,
     /// The reply, if there is one to be used or passed on.
     pub reply: Option<Reply>,
     /// What happened, for the log.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-impl Ended {
+impl ExchangeResult {
     fn without(outcome: Outcome, why: &'static str) -> Self {
         Self {
             outcome,
             reply: None,
-            why,
+            reason: why,
         }
     }
 }
@@ -66,7 +66,7 @@
     kind: Kind,
     message: &Message,
     send: &Send,
-) -> Ended
+) -> ExchangeResult
 where
     D: Dialect,
     S: Source,
@@ -82,18 +82,18 @@
     let is_withheld = || is_withheld(host, message, send);
     let may_leave = || host.core.borrow().may_leave(server, host.now()) && !is_withheld();
     let exchange = host.pool.exchange(server, kind, request, may_leave);
-    match tokio::time::timeout(left + SLACK, exchange).await {
-        Ok(Ok(response)) => judge(&host.dialect, message, response),
+    match tokio::time::timeout(left + REPLY_SLACK, exchange).await {
+        Ok(Ok(response)) => classify(&host.dialect, message, response),
         Ok(Err(Failure::Unsent(_))) if is_withheld() => {
-            Ended::without(Outcome::Withheld, "request became suspect")
+            ExchangeResult::without(Outcome::Withheld, "request became suspect")
         }
-        Ok(Err(Failure::Unsent(why))) => Ended::without(Outcome::Unreachable, why),
-        Ok(Err(Failure::Broken(why))) => Ended::without(Outcome::Broken, why),
+        Ok(Err(Failure::Unsent(why))) => ExchangeResult::without(Outcome::Unreachable, why),
+        Ok(Err(Failure::Broken(why))) => ExchangeResult::without(Outcome::Broken, why),
         Ok(Err(Failure::Cut(why))) => match host.pool.is_refused(server).await {
-            true => server_ended(host, server, message),
-            false => Ended::without(Outcome::Broken, why),
+            true => record_server_end(host, server, message),
+            false => ExchangeResult::without(Outcome::Broken, why),
         },
-        Err(_) => Ended::without(Outcome::Broken, "no reply in time"),
+        Err(_) => ExchangeResult::without(Outcome::Broken, "no reply in time"),
     }
 }
 
@@ -105,7 +105,7 @@
 }
 
 /// Notes that a server's process ended while it had the request.
-fn server_ended<D, S>(host: &Host<D, S>, server: &Server, message: &Message) -> Ended
+fn record_server_end<D, S>(host: &Host<D, S>, server: &Server, message: &Message) -> ExchangeResult
 where
     D: Dialect,
     S: Source,
@@ -118,69 +118,73 @@
         service = %server.entry.service,
         "backend server ended while it had the request"
     );
-    host.board.add(metric::SERVERS_ENDED, 1);
-    Ended::without(Outcome::ServerEnded, "server ended")
+    host.metrics.add(metric::SERVERS_ENDED, 1);
+    ExchangeResult::without(Outcome::ServerEnded, "server ended")
 }
 
 /// Says what a reply is worth.
-fn judge<D>(dialect: &D, message: &Message, response: Response<Bytes>) -> Ended
+fn classify<D>(dialect: &D, message: &Message, response: Response<Bytes>) -> ExchangeResult
 where
     D: Dialect,
 {
     let (head, body) = response.into_parts();
     let mark = dialect.parse_reply(&head);
     let response = Response::from_parts(head, body);
-    match worth(&mark, message, &response) {
-        Worth::Misdirected => Ended::without(Outcome::Misdirected, "another server's address"),
-        Worth::NotRun => Ended::without(Outcome::Rejected { load: mark.load }, "turned away"),
-        Worth::Nothing(why) => Ended::without(Outcome::Broken, why),
-        Worth::Failure => whole(Outcome::Failure { load: mark.load }, mark, response),
-        Worth::Part => whole(Outcome::Part { load: mark.load }, mark, response),
+    match reply_class(&mark, message, &response) {
+        ReplyClass::Misdirected => {
+            ExchangeResult::without(Outcome::Misdirected, "another server's address")
+        }
+        ReplyClass::NotRun => {
+            ExchangeResult::without(Outcome::Rejected { load: mark.load }, "turned away")
+        }
+        ReplyClass::Unusable(why) => ExchangeResult::without(Outcome::Broken, why),
+        ReplyClass::Failure => with_reply(Outcome::Failure { load: mark.load }, mark, response),
+        ReplyClass::Part => with_reply(Outcome::Part { load: mark.load }, mark, response),
     }
 }
 
-fn whole(outcome: Outcome, mark: ReplyInfo, response: Response<Bytes>) -> Ended {
+fn with_reply(outcome: Outcome, mark: ReplyInfo, response: Response<Bytes>) -> ExchangeResult {
     let why = match &outcome {
         Outcome::Part { .. } => "whole",
         _ => "the server's own failure",
     };
-    Ended {
+    ExchangeResult {
         outcome,
         reply: Some(Reply {
             response,
             signature: mark.signature,
         }),
-        why,
+        reason: why,
     }
 }
 
 /// What a reply is worth.
-enum Worth {
+enum ReplyClass {
     Part,
     Failure,
     NotRun,
     Misdirected,
-    Nothing(&'static str),
+    Unusable(&'static str),
 }
 
-fn worth(mark: &ReplyInfo, message: &Message, response: &Response<Bytes>) -> Worth {
+fn reply_class(mark: &ReplyInfo, message: &Message, response: &Response<Bytes>) -> ReplyClass {
     match mark.executed {
-        Executed::Misdirected => return Worth::Misdirected,
-        Executed::No => return Worth::NotRun,
+        Executed::Misdirected => return ReplyClass::Misdirected,
+        Executed::No => return ReplyClass::NotRun,
         Executed::Maybe => {}
     }
     if mark.id.as_ref().is_some_and(|id| *id != message.id) {
-        return Worth::Nothing("answers another request");
+        return ReplyClass::Unusable("answers another request");
     }
     if response.headers().contains_key(header::CONTENT_ENCODING) {
-        return Worth::Nothing("encoded on the way");
+        return ReplyClass::Unusable("encoded on the way");
     }
     if mark.signature.is_none() {
-        return Worth::Nothing("not signed");
+        return ReplyClass::Unusable("not signed");
     }
     match response.status() {
-        status if status.is_success() => Worth::Part,
-        StatusCode::CONTINUE | StatusCode::SWITCHING_PROTOCOLS => Worth::Nothing("not final"),
-        _ => Worth::Failure,
+        status if status.is_success() => ReplyClass::Part,
+        StatusCode::CONTINUE | StatusCode::SWITCHING_PROTOCOLS => ReplyClass::Unusable("not final"),
+        _ => ReplyClass::Failure,
     }
 }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -11,7 +11,7 @@
 use crate::metric;
 use crate::notice::Frame;
 use crate::source::Source;
-use ask::Inquiry;
+use ask::FreshnessCheck;
 use http::Request;
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
@@ -37,21 +37,21 @@
 
 /// How long a process that starts waits for other hosts to turn up before it reads by itself: many
 /// round trips. Callers wait for it too when a whole fleet starts anew.
-const JOIN: Duration = Duration::from_millis(120);
+const JOIN_WAIT: Duration = Duration::from_millis(120);
 
 /// How long a process that knows nothing follows a host that knows nothing either: as long as that
 /// one takes to join and to read everything.
-const PATIENCE: Duration = Duration::from_millis(500);
+const BOOTSTRAP_WAIT: Duration = Duration::from_millis(500);
 
 /// Time to take in one message beyond which its size is logged.
 const SLOW_MESSAGE: Duration = Duration::from_millis(100);
 
 /// Why an origin is left.
-enum Left {
+enum LeaveReason {
     /// It failed, or its knowledge can't be relied on.
     Failed(Error),
     /// The best one should be tried again.
-    Again,
+    Retry,
 }
 
 /// Learns until the process is over.
@@ -60,27 +60,31 @@
     D: Dialect,
     S: Source,
 {
-    tokio::time::sleep(JOIN).await;
+    tokio::time::sleep(JOIN_WAIT).await;
     let mut search = Search::default();
     loop {
-        let order = order(&host, search.round());
-        let next = search.next(&order, host.news.urgency(host.age()), host.now());
+        let order = rank_origins(&host, search.round());
+        let next = search.next(&order, host.freshness.urgency(host.age()), host.now());
         let Next::Try { origin, until } = next else {
-            let pause = host.news.rest().mul_f64(rand::rng().random_range(0.5..1.0));
+            let pause = host
+                .freshness
+                .rest()
+                .mul_f64(rand::rng().random_range(0.5..1.0));
             tokio::time::sleep(pause).await;
             continue;
         };
         host.origin.replace(Some(origin.clone()));
         let left = match &origin {
-            Origin::Service => service::service(&host, until).await,
-            Origin::Host(name) => subscribe(&host, name, until).await,
+            Origin::Service => service::follow_service(&host, until).await,
+            Origin::Host(name) => follow_host(&host, name, until).await,
         };
         host.origin.replace(None);
-        let Left::Failed(error) = left else {
+        let LeaveReason::Failed(error) = left else {
             search.left(&origin, search::Left::Again, host.now());
             continue;
         };
-        host.board.count(metric::ORIGINS_LOST, kind(&origin));
+        host.metrics
+            .count(metric::ORIGINS_LOST, origin_kind(&origin));
         warn!(
             event = "origin",
             ?origin,
@@ -90,23 +94,23 @@
         );
         search.left(&origin, search::Left::Failed, host.now());
         if origin == Origin::Service {
-            host.note_away(Duration::ZERO);
+            host.record_outage(Duration::ZERO);
             // Followers would find out by the age of its knowledge, two thirds of the bound later.
-            host.steady.set(false);
+            host.origin_reachable.set(false);
             host.changed.send_modify(|count| *count += 1);
         }
     }
 }
 
 /// The kind of an origin, in metrics.
-fn kind(origin: &Origin) -> &'static str {
+fn origin_kind(origin: &Origin) -> &'static str {
     match origin {
         Origin::Service => "service",
         Origin::Host(_) => "host",
     }
 }
 
-fn order<D, S>(host: &Host<D, S>, round: usize) -> Vec<Origin>
+fn rank_origins<D, S>(host: &Host<D, S>, round: usize) -> Vec<Origin>
 where
     D: Dialect,
     S: Source,
@@ -133,56 +137,56 @@
 }
 
 /// Whether the origin is to be left for a better one.
-fn is_over<D, S>(host: &Host<D, S>, origin: &Origin, until: Option<Time>) -> bool
+fn should_leave<D, S>(host: &Host<D, S>, origin: &Origin, until: Option<Time>) -> bool
 where
     D: Dialect,
     S: Source,
 {
     match until {
         Some(until) => host.now() >= until,
-        None => order(host, 0).first() != Some(origin),
+        None => rank_origins(host, 0).first() != Some(origin),
     }
 }
 
 /// Follows another host.
-async fn subscribe<D, S>(host: &Host<D, S>, name: &id::Host, until: Option<Time>) -> Left
+async fn follow_host<D, S>(host: &Host<D, S>, name: &id::Host, until: Option<Time>) -> LeaveReason
 where
     D: Dialect,
     S: Source,
 {
     let origin = Origin::Host(name.clone());
     let began = host.now();
-    let (inquiry, questions) = Inquiry::start(host.clock, name, host.news.heartbeat());
-    let mut reader = match open(host, name, questions).await {
+    let (inquiry, questions) = FreshnessCheck::start(host.clock, name, host.freshness.heartbeat());
+    let mut reader = match open_feed(host, name, questions).await {
         Ok(reader) => reader,
-        Err(error) => return Left::Failed(error),
+        Err(error) => return LeaveReason::Failed(error),
     };
     let mut allowed = None;
     loop {
-        if is_over(host, &origin, until) {
-            return Left::Again;
+        if should_leave(host, &origin, until) {
+            return LeaveReason::Retry;
         }
         let frame = match next_frame(host, &mut reader, allowed).await {
             Ok(frame) => frame,
-            Err(error) => return Left::Failed(error),
+            Err(error) => return LeaveReason::Failed(error),
         };
         let size = reader.last();
-        if frame.news.is_some() {
-            note_size(host, name, size);
+        if frame.update.is_some() {
+            record_size(host, name, size);
         }
-        let way = frame.way.join(" ");
-        if let Err(error) = hear(host, name, frame, &inquiry) {
-            return Left::Failed(error);
+        let way = frame.path.join(" ");
+        if let Err(error) = apply_frame(host, name, frame, &inquiry) {
+            return LeaveReason::Failed(error);
         }
         if allowed.is_none() {
             let age_ms = host.age().map(|age| age.as_millis() as u64);
             info!(event = "origin", ?origin, way, age_ms, "followed");
         }
-        let patient = host.age().is_none() && host.now() < began + PATIENCE;
+        let patient = host.age().is_none() && host.now() < began + BOOTSTRAP_WAIT;
         // That a message was long under way is not the origin's fault.
-        let most = host.news.stale() + size.took;
+        let most = host.freshness.stale() + size.took;
         if !patient && host.age().is_none_or(|age| age > most) {
-            return Left::Failed(too_old(host, name));
+            return LeaveReason::Failed(stale_error(host, name));
         }
         allowed = Some(most);
     }
@@ -200,23 +204,23 @@
     S: Source,
 {
     let patience = match allowed {
-        Some(_) => host.news.frame(),
-        None => host.news.open(),
+        Some(_) => host.freshness.frame(),
+        None => host.freshness.open(),
     };
     if let (Some(allowed), Some(age)) = (allowed, host.age()) {
         let left = allowed.saturating_sub(age);
         match tokio::time::timeout(left, reader.next(patience)).await {
             Ok(frame) => return frame,
-            Err(_) if !reader.is_amid() => return Err(too_old(host, reader.peer())),
+            Err(_) if !reader.is_mid_message() => return Err(stale_error(host, reader.peer())),
             Err(_) => {}
         }
     }
-    let frame = tokio::time::timeout(host.news.bound, reader.next(patience)).await;
+    let frame = tokio::time::timeout(host.freshness.bound, reader.next(patience)).await;
     let slow = "a message took longer than the bound";
     frame.unwrap_or_else(|_| Err(Error::new(Step::Read, reader.peer(), slow)))
 }
 
-fn too_old<D, S>(host: &Host<D, S>, origin: &str) -> Error
+fn stale_error<D, S>(host: &Host<D, S>, origin: &str) -> Error
 where
     D: Dialect,
     S: Source,
@@ -226,12 +230,13 @@
 }
 
 /// Counts what was told, and logs what took long: links that are full show here.
-fn note_size<D, S>(host: &Host<D, S>, name: &id::Host, size: frame::Size)
+fn record_size<D, S>(host: &Host<D, S>, name: &id::Host, size: frame::MessageSize)
 where
     D: Dialect,
     S: Source,
 {
-    host.board.add(metric::NEWS_HEARD, size.bytes as u64);
+    host.metrics
+        .add(metric::UPDATE_BYTES_RECEIVED, size.bytes as u64);
     if size.took >= SLOW_MESSAGE {
         let took_ms = size.took.as_millis() as u64;
         info!(event = "news", from = %name, bytes = size.bytes, took_ms, "heard");
@@ -239,15 +244,20 @@
 }
 
 /// Takes in what another host tells, unless its knowledge can't be relied on.
-fn hear<D, S>(host: &Host<D, S>, name: &id::Host, frame: Frame, inquiry: &Inquiry) -> Result<()>
+fn apply_frame<D, S>(
+    host: &Host<D, S>,
+    name: &id::Host,
+    frame: Frame,
+    inquiry: &FreshnessCheck,
+) -> Result<()>
 where
     D: Dialect,
     S: Source,
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
-    let told: Vec<id::Host> = frame.way.iter().map(|host| host.as_str().into()).collect();
+    let told: Vec<id::Host> = frame.path.iter().map(|host| host.as_str().into()).collect();
     let way = Way::through(&told, &host.name).map_err(|refused| fail(&refused))?;
-    let heard = inquiry.hear(frame.answers);
+    let heard = inquiry.record_answer(frame.answered_query);
     heard.map_err(|unasked| fail(&unasked))?;
     let is_proved = host.is_on(Mechanism::Proofs);
     let age = |ms: u32| {
@@ -257,22 +267,25 @@
             false => told,
         }
     };
-    if let Some(away_ms) = frame.away_ms {
-        host.note_away(age(away_ms));
+    if let Some(away_ms) = frame.outage_age_ms {
+        host.record_outage(age(away_ms));
     }
     if let Some(age_ms) = frame.age_ms {
-        let news = frame.news.map(|content| content.news(name)).transpose()?;
-        host.learn(news, age(age_ms));
+        let news = frame
+            .update
+            .map(|content| content.decode(name))
+            .transpose()?;
+        host.apply_update(news, age(age_ms));
     }
-    if !frame.steady && host.age().is_some() {
+    if !frame.origin_reachable && host.age().is_some() {
         return Err(fail(&"its origin is lost"));
     }
-    host.steady.set(true);
-    host.take_way(way);
+    host.origin_reachable.set(true);
+    host.set_path(way);
     Ok(())
 }
 
-async fn open<D, S>(
+async fn open_feed<D, S>(
     host: &Host<D, S>,
     name: &id::Host,
     questions: frame::Body,
@@ -289,7 +302,8 @@
     *request.method_mut() = http::Method::POST;
     let uri = format!("http://host{PATH}{after}");
     *request.uri_mut() = uri.parse().map_err(|_| fail("path can't be sent"))?;
-    let sent = tokio::time::timeout(host.news.open(), host.peers.stream(address, request)).await;
+    let sent =
+        tokio::time::timeout(host.freshness.open(), host.peers.stream(address, request)).await;
     let response = sent.map_err(|_| {
         // A connection can be silent for good while a new one works.
         host.peers.drop_connection(address);
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -18,18 +18,18 @@
 
 /// Questions to one origin, which end when this is dropped.
 #[derive(Debug)]
-pub(super) struct Inquiry {
+pub(super) struct FreshnessCheck {
     questions: Rc<RefCell<Questions>>,
     /// Tells that a question is due at once.
-    due: watch::Sender<()>,
+    query_due: watch::Sender<()>,
 }
 
-impl Inquiry {
+impl FreshnessCheck {
     /// Asks the first question now, and then one in each `period`, in the body that is returned.
     pub(super) fn start(clock: Clock, origin: &id::Host, period: Duration) -> (Self, frame::Body) {
         let questions = Rc::new(RefCell::new(Questions::start(clock.now())));
         let (due, is_due) = watch::channel(());
-        let asking = Asking {
+        let asking = QueryStream {
             clock,
             origin: origin.clone(),
             period,
@@ -40,7 +40,13 @@
             let bytes = asking.next().await?;
             Some((bytes, asking))
         });
-        (Self { questions, due }, frame::body(body))
+        (
+            Self {
+                questions,
+                query_due: due,
+            },
+            frame::body(body),
+        )
     }
 
     /// Takes in a message that was written after question `number` had arrived.
@@ -48,10 +54,10 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub(super) fn hear(&self, number: Number) -> Result<(), Unasked> {
+    pub(super) fn record_answer(&self, number: Number) -> Result<(), Unasked> {
         let heard = self.questions.borrow_mut().hear(number)?;
         if heard == Heard::Ask {
-            self.due.send_replace(());
+            self.query_due.send_replace(());
         }
         Ok(())
     }
@@ -63,7 +69,7 @@
 }
 
 /// The side that is sent.
-struct Asking {
+struct QueryStream {
     clock: Clock,
     origin: id::Host,
     period: Duration,
@@ -71,7 +77,7 @@
     is_due: watch::Receiver<()>,
 }
 
-impl Asking {
+impl QueryStream {
     /// The next question, when it is due; none once nobody waits for answers.
     async fn next(&mut self) -> Option<Bytes> {
         tokio::select! {
@@ -79,7 +85,7 @@
             () = tokio::time::sleep(self.period) => {}
         }
         let number = self.questions.borrow_mut().ask(self.clock.now());
-        match frame::frame(&notice::Question { number }, &self.origin) {
+        match frame::frame(&notice::FreshnessQuery { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
                 warn!(event = "news", %error, "not asked");
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -1,7 +1,7 @@
 //! Reading the service that publishes.
 
-use super::Left;
-use super::is_over;
+use super::LeaveReason;
+use super::should_leave;
 use crate::dialect::Dialect;
 use crate::host::Host;
 use crate::metric;
@@ -21,37 +21,37 @@
 use tracing::warn;
 
 /// Time that opening a connection and a busy processor may add to a call.
-const HELD_UP: Duration = Duration::from_secs(1);
+const STALL_ALLOWANCE: Duration = Duration::from_secs(1);
 
 /// Longest pause of the service while everything is read.
 const READ_SILENCE: Duration = Duration::from_secs(2);
 
 /// Reads the service until it fails, or another origin is to be tried.
-pub(super) async fn service<D, S>(host: &Host<D, S>, until: Option<Time>) -> Left
+pub(super) async fn follow_service<D, S>(host: &Host<D, S>, until: Option<Time>) -> LeaveReason
 where
     D: Dialect,
     S: Source,
 {
     info!(event = "origin", origin = "service", "reading");
     loop {
-        if is_over(host, &Origin::Service, until) {
-            return Left::Again;
+        if should_leave(host, &Origin::Service, until) {
+            return LeaveReason::Retry;
         }
         let asked = host.now();
-        let (news, age) = match ask(host).await {
+        let (news, age) = match poll(host).await {
             Ok(told) => told,
-            Err(error) if host.now().saturating_sub(asked) > longest(host) => {
+            Err(error) if host.now().saturating_sub(asked) > max_call_time(host) => {
                 warn!(event = "origin", origin = "service", %error, "stood still during a call");
-                return Left::Again;
+                return LeaveReason::Retry;
             }
-            Err(error) => return Left::Failed(error),
+            Err(error) => return LeaveReason::Failed(error),
         };
         let quiet = matches!(&news, News::Changes { items, .. } if items.is_empty());
-        host.learn(Some(news), age);
-        host.steady.set(true);
-        host.take_way(Way::reader(&host.name));
+        host.apply_update(Some(news), age);
+        host.origin_reachable.set(true);
+        host.set_path(Way::reader(&host.name));
         if !quiet {
-            tokio::time::sleep(host.news.pause()).await;
+            tokio::time::sleep(host.freshness.pause()).await;
         }
     }
 }
@@ -60,16 +60,16 @@
 ///
 /// One that fails later was held up here, as while the host stood still, which says nothing of the service. Taken
 /// for its failure, it would have callers served by old knowledge as if nobody could know more.
-fn longest<D, S>(host: &Host<D, S>) -> Duration
+fn max_call_time<D, S>(host: &Host<D, S>) -> Duration
 where
     D: Dialect,
     S: Source,
 {
-    host.news.watch() + host.news.slack() + HELD_UP
+    host.freshness.watch() + host.freshness.slack() + STALL_ALLOWANCE
 }
 
 /// What there is to know beyond what is known here, and how old it is.
-async fn ask<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
+async fn poll<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
 where
     D: Dialect,
     S: Source,
@@ -79,7 +79,7 @@
         return read(host).await;
     }
     let asked = host.now();
-    let wait = host.news.next_watch(host.age().unwrap_or_default());
+    let wait = host.freshness.next_watch(host.age().unwrap_or_default());
     let WatchResult::Changes(news) = watch(host, after, wait).await? else {
         return read(host).await;
     };
@@ -97,10 +97,10 @@
     D: Dialect,
     S: Source,
 {
-    let watch = host.source.watch(after, wait, host.news.slack());
-    let watched = within(wait + host.news.bound, watch).await;
-    let board = &host.board;
-    board.call(metric::SERVICE_CALLS, "watch", watched.is_ok());
+    let watch = host.source.watch(after, wait, host.freshness.slack());
+    let watched = with_timeout(wait + host.freshness.bound, watch).await;
+    let board = &host.metrics;
+    board.count_call(metric::SERVICE_CALLS, "watch", watched.is_ok());
     watched
 }
 
@@ -111,13 +111,14 @@
     S: Source,
 {
     let asked = host.now();
-    let read = within(host.news.bound, host.source.read(READ_SILENCE)).await;
-    host.board.call(metric::SERVICE_CALLS, "read", read.is_ok());
+    let read = with_timeout(host.freshness.bound, host.source.read(READ_SILENCE)).await;
+    host.metrics
+        .count_call(metric::SERVICE_CALLS, "read", read.is_ok());
     Ok((read?, host.now().saturating_sub(asked)))
 }
 
 /// What a call to the service brings, unless its answer takes longer than `most` altogether.
-async fn within<T, C>(most: Duration, call: C) -> Result<T>
+async fn with_timeout<T, C>(most: Duration, call: C) -> Result<T>
 where
     C: Future<Output = Result<T>>,
 {
--- a/crates/lentillift-gateway/src/feed/tell.rs
+++ b/crates/lentillift-gateway/src/feed/tell.rs
@@ -7,7 +7,7 @@
 use crate::host::Stage;
 use crate::metric;
 use crate::notice::Frame;
-use crate::notice::Question;
+use crate::notice::FreshnessQuery;
 use crate::source::Source;
 use bytes::Bytes;
 use futures_util::stream;
@@ -23,7 +23,7 @@
 
 /// Tells a follower that knows everything up to `after` what changes, and answers the `questions` in the body
 /// of its request.
-pub fn tell<D, S>(
+pub fn body<D, S>(
     host: Rc<Host<D, S>>,
     after: id::Revision,
     questions: Option<Incoming>,
@@ -41,8 +41,8 @@
         changed,
         stage,
         questions: questions.map(|body| Reader::new("follower", body)),
-        answers: 0,
-        first: true,
+        last_query: 0,
+        is_first: true,
     };
     frame::body(stream::unfold(feed, |mut feed| async move {
         let bytes = feed.next().await?;
@@ -56,10 +56,10 @@
     after: id::Revision,
     changed: watch::Receiver<u64>,
     stage: watch::Receiver<Stage>,
-    questions: Option<Reader<Question>>,
+    questions: Option<Reader<FreshnessQuery>>,
     /// The last question that has arrived.
-    answers: Number,
-    first: bool,
+    last_query: Number,
+    is_first: bool,
 }
 
 impl<D, S> Drop for Feed<D, S> {
@@ -77,13 +77,13 @@
     /// The next frame, at once, after a change, or when it is asked for; none when this process ends or the
     /// follower asks nothing any more.
     async fn next(&mut self) -> Option<Bytes> {
-        if !std::mem::take(&mut self.first) {
-            let silence = self.host.news.bound;
+        if !std::mem::take(&mut self.is_first) {
+            let silence = self.host.freshness.bound;
             tokio::select! {
                 _ = self.changed.changed() => {}
                 _ = self.stage.wait_for(|stage| *stage >= Stage::Closing) => return None,
-                question = question(&mut self.questions, silence) => match question {
-                    Ok(question) => self.answers = question.number,
+                question = next_query(&mut self.questions, silence) => match question {
+                    Ok(question) => self.last_query = question.number,
                     Err(error) => {
                         debug!(event = "news", %error, "a follower has left");
                         return None;
@@ -91,7 +91,7 @@
                 }
             }
         }
-        match self.message() {
+        match self.encode_frame() {
             Ok(bytes) => Some(bytes),
             Err(error) => {
                 warn!(event = "news", %error, "not told");
@@ -101,21 +101,22 @@
     }
 
     /// What there is to tell now.
-    fn message(&mut self) -> Result<Bytes> {
+    fn encode_frame(&mut self) -> Result<Bytes> {
         let host = &self.host;
-        let news = host.news_after(self.after)?;
-        let way = host.way.borrow();
+        let news = host.update_after(self.after)?;
+        let way = host.path.borrow();
         let message = Frame {
-            answers: self.answers,
-            age_ms: host.age().map(rounded_up),
-            steady: host.steady.get(),
-            way: way.hosts().iter().map(|host| host.to_string()).collect(),
-            away_ms: host.away().map(rounded_up),
-            news,
+            answered_query: self.last_query,
+            age_ms: host.age().map(millis_rounded_up),
+            origin_reachable: host.origin_reachable.get(),
+            path: way.hosts().iter().map(|host| host.to_string()).collect(),
+            outage_age_ms: host.time_since_outage().map(millis_rounded_up),
+            update: news,
         };
         let bytes = frame::frame(&message, "follower")?;
-        if message.news.is_some() {
-            host.board.add(metric::NEWS_TOLD, bytes.len() as u64);
+        if message.update.is_some() {
+            host.metrics
+                .add(metric::UPDATE_BYTES_SENT, bytes.len() as u64);
         }
         self.after = self.after.max(host.catalog.borrow().revision());
         Ok(bytes)
@@ -123,7 +124,10 @@
 }
 
 /// The next question; none ever comes where nobody can ask.
-async fn question(questions: &mut Option<Reader<Question>>, silence: Duration) -> Result<Question> {
+async fn next_query(
+    questions: &mut Option<Reader<FreshnessQuery>>,
+    silence: Duration,
+) -> Result<FreshnessQuery> {
     match questions {
         Some(questions) => questions.next(silence).await,
         None => std::future::pending().await,
@@ -131,6 +135,6 @@
 }
 
 /// An age in milliseconds, never less than it is.
-fn rounded_up(age: Duration) -> u32 {
+fn millis_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/lentillift-gateway/src/flight.rs
+++ b/crates/lentillift-gateway/src/flight.rs
@@ -1,8 +1,8 @@
 //! One send, from its start to what came of it.
 
 use crate::branch;
-use crate::branch::Rest;
-use crate::branch::Told;
+use crate::branch::BranchReply;
+use crate::branch::PendingAnswers;
 use crate::dialect::Dialect;
 use crate::exchange;
 use crate::host::Host;
@@ -53,27 +53,27 @@
 }
 
 /// A send that has ended.
-pub(crate) struct Arrival {
+pub(crate) struct Completion {
     pub(crate) number: Number,
     pub(crate) leg: usize,
     pub(crate) hop: Hop,
     /// Time since it was sent.
     pub(crate) took: Duration,
-    pub(crate) told: Told,
+    pub(crate) reply: BranchReply,
 }
 
 /// Sends that are under way.
-pub(crate) type Flights = FuturesUnordered<LocalBoxFuture<'static, Arrival>>;
+pub(crate) type InFlight = FuturesUnordered<LocalBoxFuture<'static, Completion>>;
 
 /// Sends once and waits for the end.
-pub(crate) async fn fly<D, S>(
+pub(crate) async fn send_once<D, S>(
     host: Rc<Host<D, S>>,
     route: Arc<Route>,
     services: Vec<String>,
     send: Send,
     message: Rc<Message>,
     authority: Rc<str>,
-) -> Arrival
+) -> Completion
 where
     D: Dialect,
     S: Source,
@@ -85,7 +85,7 @@
     let told = match &send.target {
         Target::Server(server) => {
             let ended = exchange::exchange(&host, server, route.kind, &message, &send).await;
-            Told {
+            BranchReply {
                 ended,
                 merged: None,
                 rest: None,
@@ -93,26 +93,26 @@
         }
         Target::Host { host: to, .. } => {
             let to = to.clone();
-            branch::ask(&host, &to, send, services, &authority, &message).await
+            branch::request_branch(&host, &to, send, services, &authority, &message).await
         }
     };
     let took = host.now().saturating_sub(began);
-    Arrival {
+    Completion {
         number,
         leg,
         hop,
         took,
-        told,
+        reply: told,
     }
 }
 
 /// Waits for what a host still has to tell.
-pub(crate) async fn go_on<D, S>(
+pub(crate) async fn next_answer<D, S>(
     host: Rc<Host<D, S>>,
     number: Number,
     leg: usize,
-    rest: Rest,
-) -> Arrival
+    rest: PendingAnswers,
+) -> Completion
 where
     D: Dialect,
     S: Source,
@@ -120,11 +120,11 @@
     let began = host.now();
     let told = rest.next(&host).await;
     let took = host.now().saturating_sub(began);
-    Arrival {
+    Completion {
         number,
         leg,
         hop: Hop::Rest,
         took,
-        told,
+        reply: told,
     }
 }
--- a/crates/lentillift-gateway/src/frame.rs
+++ b/crates/lentillift-gateway/src/frame.rs
@@ -23,7 +23,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 /// Largest message, in bytes: everything that is published for 4,600 backend servers takes two.
-pub(crate) const MOST_BYTES: usize = 64 * 1024 * 1024;
+pub(crate) const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A body that is made while it is sent.
 ///
@@ -40,7 +40,7 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(MOST_BYTES)
+        .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec()
 }
 
@@ -83,7 +83,7 @@
 where
     T: Decode<()>,
 {
-    let config = bincode::config::standard().with_limit::<MOST_BYTES>();
+    let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
     let decoded = bincode::decode_from_slice(bytes, config);
     let (message, _) = decoded.map_err(|e| Error::new(Step::Decode, peer, e))?;
     Ok(message)
@@ -97,14 +97,14 @@
     buffer: BytesMut,
     codec: LengthDelimitedCodec,
     /// When the first bytes of the message that is being read came.
-    began: Option<Instant>,
-    last: Size,
+    message_began: Option<Instant>,
+    last: MessageSize,
     kind: PhantomData<T>,
 }
 
 /// How large a message was.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Size {
+pub struct MessageSize {
     /// Its length, in bytes.
     pub bytes: usize,
     /// Time from its first bytes to its last.
@@ -122,19 +122,19 @@
             body,
             buffer: BytesMut::new(),
             codec: codec(),
-            began: None,
-            last: Size::default(),
+            message_began: None,
+            last: MessageSize::default(),
             kind: PhantomData,
         }
     }
 
     /// How large the last message was.
-    pub fn last(&self) -> Size {
+    pub fn last(&self) -> MessageSize {
         self.last
     }
 
     /// Whether a message has begun and is not complete.
-    pub fn is_amid(&self) -> bool {
+    pub fn is_mid_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -154,28 +154,28 @@
     /// When nothing comes in time, the stream ends, or the message is malformed.
     pub async fn next(&mut self, silence: Duration) -> Result<T> {
         loop {
-            if let Some(message) = self.complete()? {
+            if let Some(message) = self.decode_buffered()? {
                 return Ok(message);
             }
             let part = tokio::time::timeout(silence, self.body.frame()).await;
-            let part = part.map_err(|_| self.silent())?;
+            let part = part.map_err(|_| self.silence_error())?;
             let part = part.ok_or_else(|| self.fail("ended"))?;
             let part = part.map_err(|e| self.fail(e))?;
             if let Ok(data) = part.into_data() {
-                self.began.get_or_insert_with(Instant::now);
+                self.message_began.get_or_insert_with(Instant::now);
                 self.buffer.extend_from_slice(&data);
             }
         }
     }
 
     /// The message that the buffer begins with, if all of it is there.
-    fn complete(&mut self) -> Result<Option<T>> {
+    fn decode_buffered(&mut self) -> Result<Option<T>> {
         let bytes = self.codec.decode(&mut self.buffer);
         let Some(bytes) = bytes.map_err(|e| self.fail(e))? else {
             return Ok(None);
         };
-        let began = self.began.take();
-        self.last = Size {
+        let began = self.message_began.take();
+        self.last = MessageSize {
             bytes: bytes.len(),
             took: began.map_or(Duration::ZERO, |began| began.elapsed()),
         };
@@ -187,7 +187,7 @@
     }
 
     /// Tells a peer that said nothing from one that stopped in the middle of a message.
-    fn silent(&self) -> Error {
+    fn silence_error(&self) -> Error {
         match self.buffer.len() {
             0 => self.fail("nothing came in time"),
             bytes => self.fail(format!("stopped after {bytes} bytes of a message")),
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -2,15 +2,15 @@
 
 use crate::dialect::Dialect;
 use crate::dialect::RequestInfo;
-use crate::ending::Ending;
+use crate::ending::RequestLog;
 use crate::host::Host;
 use crate::host::Stage;
-use crate::listen::accepted;
+use crate::listen::accept_with_retry;
 use crate::message;
 use crate::message::Message;
 use crate::metric;
 use crate::part::Content;
-use crate::part::Done;
+use crate::part::RequestResult;
 use crate::pool::set_socket_options;
 use crate::run;
 use crate::source::Source;
@@ -51,7 +51,7 @@
 use twox_hash::XxHash64;
 
 /// Limits that hold until a configuration is known.
-const FIRST_LIMITS: Limits = Limits {
+const INITIAL_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 256 * 1024,
     head_timeout: Duration::from_secs(3),
@@ -59,13 +59,13 @@
 };
 
 /// When a caller should come back that met a host without a configuration: another host has one.
-const RETRY_UNREADY: Duration = Duration::from_millis(50);
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// How long a caller waits that does not say so, before its route is known.
-const UNKNOWN_PATIENCE: Duration = Duration::from_secs(1);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Least buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Serves callers until the process is over, at most `most` connections at a time.
 ///
@@ -86,12 +86,14 @@
         let Some((stream, place)) = accepted else {
             return;
         };
-        host.board.count(metric::CALLERS, "taken");
+        host.metrics.count(metric::CALLERS, "taken");
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            host.callers.set(host.callers.get() + 1);
+            host.caller_connections
+                .set(host.caller_connections.get() + 1);
             connection(host.clone(), stream).await;
-            host.callers.set(host.callers.get() - 1);
+            host.caller_connections
+                .set(host.caller_connections.get() - 1);
             drop(place);
         });
     }
@@ -103,12 +105,14 @@
     places: &Arc<Semaphore>,
 ) -> Option<(TcpStream, OwnedSemaphorePermit)> {
     let place = places.clone().acquire_owned().await.ok()?;
-    Some((accepted(listener).await, place))
+    Some((accept_with_retry(listener).await, place))
 }
 
 fn limits<D, S>(host: &Host<D, S>) -> Limits {
     let core = host.core.borrow();
-    core.view.as_ref().map_or(FIRST_LIMITS, |v| v.config.limits)
+    core.view
+        .as_ref()
+        .map_or(INITIAL_LIMITS, |v| v.config.limits)
 }
 
 /// Serves one connection; its error concerns nobody but its caller.
@@ -127,7 +131,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
@@ -159,12 +163,12 @@
 }
 
 /// The caller's request, once it is read and its route is known.
-struct Arrived {
+struct ParsedRequest {
     message: Message,
     route: Arc<Route>,
     view: Arc<View>,
     authority: Rc<str>,
-    left: Duration,
+    timeout: Duration,
 }
 
 async fn answer<D, S>(
@@ -177,16 +181,16 @@
     S: Source,
 {
     let arrived = host.now();
-    let read = match read(host, request).await {
+    let read = match read_request(host, request).await {
         Ok(read) => read,
         Err(response) => return response,
     };
-    let Arrived {
+    let ParsedRequest {
         message,
         route,
         view,
         authority,
-        left,
+        timeout: left,
     } = read;
     let services = match &route.target {
         Target::Scatter(scatter) => scatter.shards.to_vec(),
@@ -205,16 +209,17 @@
     let fingerprint = message.fingerprint;
     let done = run::run(host, plan, Rc::new(message), authority).await;
     let took = host.now().saturating_sub(arrived);
-    let (outcome, response) = conclude(host, &route, &done);
-    host.board.count(metric::REQUESTS, outcome);
+    let (outcome, response) = build_response(host, &route, &done);
+    host.metrics.count(metric::REQUESTS, outcome);
     let labels = [("route", &*route.name), ("kind", outcome)];
-    host.board.time(metric::REQUEST_SECONDS, &labels, took);
+    host.metrics.observe(metric::REQUEST_SECONDS, &labels, took);
     if done.unpaid > 0 {
-        host.board.add(metric::UNPAID, done.unpaid.into());
+        host.metrics
+            .add(metric::REPEATS_REFUSED, done.unpaid.into());
     }
     let late = took > route.objective;
     if late || outcome != "whole" || done.repeats > 0 || is_sampled(&id) {
-        let ending = Ending {
+        let ending = RequestLog {
             id,
             fingerprint,
             route,
@@ -228,44 +233,44 @@
             done,
         };
         // The line is written once the answer has left.
-        tokio::task::spawn_local(async move { ending.tell() });
+        tokio::task::spawn_local(async move { ending.log() });
     }
     response
 }
 
 /// One in this many ordinary requests is logged, chosen by its id, so that all hosts that had a part
 /// in it keep it.
-const SAMPLE: u64 = 64;
+const SAMPLE_INTERVAL: u64 = 64;
 
 fn is_sampled(id: &str) -> bool {
-    XxHash64::oneshot(0, id.as_bytes()).is_multiple_of(SAMPLE)
+    XxHash64::oneshot(0, id.as_bytes()).is_multiple_of(SAMPLE_INTERVAL)
 }
 
 /// Reads a request whole and finds its route, or says what to answer without.
-async fn read<D, S>(
+async fn read_request<D, S>(
     host: &Rc<Host<D, S>>,
     request: Request<Incoming>,
-) -> Result<Arrived, Response<Bytes>>
+) -> Result<ParsedRequest, Response<Bytes>>
 where
     D: Dialect,
     S: Source,
 {
     let (mut head, body) = request.into_parts();
     let ask = host.dialect.parse_request(&head);
-    let most = ask.timeout.unwrap_or(UNKNOWN_PATIENCE) / 2;
+    let most = ask.timeout.unwrap_or(DEFAULT_TIMEOUT) / 2;
     host.catch_up(most).await;
     let view = host.core.borrow().view.clone();
     let Some(view) = view else {
-        turned_away(host, &ask, "no configuration yet");
-        return Err(refusal(RETRY_UNREADY));
+        log_turned_away(host, &ask, "no configuration yet");
+        return Err(unavailable(UNREADY_RETRY_AFTER));
     };
     let named = head.headers.get(header::HOST);
     let authority = named
         .and_then(|host| host.to_str().ok())
         .unwrap_or_default();
     let authority: Rc<str> = authority.into();
-    let Some(found) = find(view, &authority, head.uri.path()) else {
-        turned_away(host, &ask, "no such route");
+    let Some(found) = find_route(view, &authority, head.uri.path()) else {
+        log_turned_away(host, &ask, "no such route");
         return Err(status(StatusCode::NOT_FOUND));
     };
     let limits = found.view.config.limits;
@@ -281,15 +286,15 @@
                 Ok(_) => (StatusCode::BAD_REQUEST, "body cut off"),
                 Err(_) => (StatusCode::REQUEST_TIMEOUT, "body too slow"),
             };
-            turned_away(host, &ask, why);
+            log_turned_away(host, &ask, why);
             return Err(status(code));
         }
     };
     // The body may have taken long. A route that has gone meanwhile was there when the request came.
     let view = host.core.borrow().view.clone();
-    let latest = view.and_then(|view| find(view, &authority, head.uri.path()));
-    let Found { view, route } = latest.unwrap_or(found);
-    message::strip(&mut head.headers);
+    let latest = view.and_then(|view| find_route(view, &authority, head.uri.path()));
+    let RouteMatch { view, route } = latest.unwrap_or(found);
+    message::strip_hop_by_hop(&mut head.headers);
     let path = match head.uri.path_and_query() {
         Some(path) => Uri::from(path.clone()),
         None => Uri::from_static("/"),
@@ -303,34 +308,34 @@
         id: ask.id.unwrap_or_default(),
         fingerprint,
     };
-    Ok(Arrived {
+    Ok(ParsedRequest {
         message,
         route,
         view,
         authority,
-        left,
+        timeout: left,
     })
 }
 
 /// The route of a request, and the picture that has it.
-struct Found {
+struct RouteMatch {
     view: Arc<View>,
     route: Arc<Route>,
 }
 
 /// The route for `path` at the host that the caller names.
-fn find(view: Arc<View>, authority: &str, path: &str) -> Option<Found> {
+fn find_route(view: Arc<View>, authority: &str, path: &str) -> Option<RouteMatch> {
     let route = view.config.route(authority, path)?.clone();
-    Some(Found { view, route })
+    Some(RouteMatch { view, route })
 }
 
 /// Puts a request into the log that was answered without being sent anywhere.
-fn turned_away<D, S>(host: &Host<D, S>, ask: &RequestInfo, why: &'static str)
+fn log_turned_away<D, S>(host: &Host<D, S>, ask: &RequestInfo, why: &'static str)
 where
     D: Dialect,
     S: Source,
 {
-    host.board.count(metric::REQUESTS, "turned away");
+    host.metrics.count(metric::REQUESTS, "turned away");
     info!(
         event = "request",
         id = ask.id.as_deref().unwrap_or_default(),
@@ -342,7 +347,11 @@
 }
 
 /// The answer, and a word for it in logs and counters.
-fn conclude<D, S>(host: &Host<D, S>, route: &Route, done: &Done) -> (&'static str, Response<Bytes>)
+fn build_response<D, S>(
+    host: &Host<D, S>,
+    route: &Route,
+    done: &RequestResult,
+) -> (&'static str, Response<Bytes>)
 where
     D: Dialect,
 {
@@ -351,17 +360,22 @@
             let outcome = if *missing == 0 { "whole" } else { "partial" };
             (outcome, merge(host, scatter.records, done, *missing))
         }
-        (Next::Answer { .. }, Target::Split(_)) => ("whole", pass(done)),
-        (Next::Pass(_), _) => ("failure", pass(done)),
-        (Next::Refuse(after), _) => ("refused", refusal(*after)),
-        (Next::Quarantine(after), _) => ("quarantined", refusal(*after)),
+        (Next::Answer { .. }, Target::Split(_)) => ("whole", pass_through(done)),
+        (Next::Pass(_), _) => ("failure", pass_through(done)),
+        (Next::Refuse(after), _) => ("refused", unavailable(*after)),
+        (Next::Quarantine(after), _) => ("quarantined", unavailable(*after)),
         (Next::Timeout, _) => ("timeout", status(StatusCode::GATEWAY_TIMEOUT)),
         (Next::Fail | Next::Wait(_), _) => ("failed", status(StatusCode::BAD_GATEWAY)),
     }
 }
 
 /// An answer merged from parts.
-fn merge<D, S>(host: &Host<D, S>, limit: usize, done: &Done, missing: usize) -> Response<Bytes>
+fn merge<D, S>(
+    host: &Host<D, S>,
+    limit: usize,
+    done: &RequestResult,
+    missing: usize,
+) -> Response<Bytes>
 where
     D: Dialect,
 {
@@ -375,14 +389,14 @@
 }
 
 /// A backend server's reply as it is.
-fn pass(done: &Done) -> Response<Bytes> {
+fn pass_through(done: &RequestResult) -> Response<Bytes> {
     let Some(Content::Reply(reply)) = done.parts.first().map(|part| &part.content) else {
         return status(StatusCode::BAD_GATEWAY);
     };
     let mut response = Response::new(reply.response.body().clone());
     *response.status_mut() = reply.response.status();
     *response.headers_mut() = reply.response.headers().clone();
-    message::strip(response.headers_mut());
+    message::strip_hop_by_hop(response.headers_mut());
     response
 }
 
@@ -393,7 +407,7 @@
 }
 
 /// Says that the request has not run, and when to come back.
-fn refusal(after: Duration) -> Response<Bytes> {
+fn unavailable(after: Duration) -> Response<Bytes> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::dialect::Dialect;
 use crate::metric;
-use crate::metric::Board;
+use crate::metric::Registry;
 use crate::notice::Content;
 use crate::peer::Peers;
 use crate::pool::Pool;
@@ -49,7 +49,7 @@
 
 /// What followers that knew everything up to a revision were told.
 #[derive(Debug, Clone)]
-pub(crate) struct Told {
+pub(crate) struct EncodedUpdate {
     after: id::Revision,
     content: Content,
 }
@@ -60,7 +60,7 @@
     /// How old it was.
     age: Duration,
     /// How old was what had been believed until then.
-    before: Option<Duration>,
+    previous_age: Option<Duration>,
 }
 
 /// What all tasks of this process share.
@@ -82,7 +82,7 @@
     /// Connections to other hosts.
     pub peers: Peers,
     /// Counters.
-    pub board: Board,
+    pub metrics: Registry,
     /// What requests share.
     pub core: RefCell<Core>,
     /// What is believed of the published state.
@@ -90,18 +90,18 @@
     /// Membership.
     pub swim: RefCell<Swim<StdRng>>,
     /// When what is believed was last known to be all there is; none before the first news.
-    pub proved: Cell<Option<Time>>,
+    pub verified_at: Cell<Option<Time>>,
     /// When the service was last known to be away; none if it never was.
-    pub away: Cell<Option<Time>>,
+    pub outage_at: Cell<Option<Time>>,
     /// How soon news has to be here.
-    pub news: follow::Options,
+    pub freshness: follow::Options,
     /// Whether the service last answered this host, or it has another origin since.
-    pub steady: Cell<bool>,
+    pub origin_reachable: Cell<bool>,
     /// From whom what is published is learnt at present; none while an origin is looked for.
     pub origin: RefCell<Option<Origin>>,
     /// Hosts over which what is believed came. Kept while another origin is looked for, so that
     /// followers of this host are not taken for one.
-    pub way: RefCell<Way>,
+    pub path: RefCell<Way>,
     /// The hosts that bounds of the whole fleet are shared with.
     pub roster: RefCell<Roster>,
     /// Tells that other hosts should hear something of requests under which servers ended.
@@ -109,10 +109,10 @@
     /// How long questions of other hosts are held up on their way.
     pub delays: RefCell<Delays>,
     /// Connections of callers.
-    pub callers: Cell<usize>,
+    pub caller_connections: Cell<usize>,
     /// What followers were told last: most know the same and are told the same.
     // INVARIANT: None once what is believed has changed.
-    pub(crate) told: RefCell<Option<Told>>,
+    pub(crate) last_update: RefCell<Option<EncodedUpdate>>,
     /// Hosts that learn from this one what is published.
     pub followers: Cell<usize>,
     /// Rises with every change of what is believed.
@@ -143,78 +143,78 @@
     }
 
     /// Takes in news that held `age` ago; followers are told of it at once.
-    pub fn learn(&self, news: Option<News>, age: Duration) {
+    pub fn apply_update(&self, news: Option<News>, age: Duration) {
         let now = self.now();
         let provenance = Provenance {
             origin: self.origin.borrow().clone(),
             age,
-            before: self.age(),
+            previous_age: self.age(),
         };
         if let Some(news) = news {
             let source = &self.source;
-            let grace = self.grace();
+            let grace = self.lapse_grace();
             let mut catalog = self.catalog.borrow_mut();
             let before = catalog.revision();
             let changes = catalog.learn(now, news, grace, |item| source.decode(item));
             let revision = catalog.revision();
             drop(catalog);
-            let log = |change| tell(change, revision, &provenance);
+            let log = |change| log_change(change, revision, &provenance);
             changes.iter().for_each(log);
             if !changes.is_empty() || before != revision {
-                self.redraw();
+                self.publish_view();
             }
         }
         if self.catalog.borrow().revision() > 0 {
             let at = now.saturating_sub(age);
-            let before = self.proved.get();
+            let before = self.verified_at.get();
             let latest = before.map_or(at, |old| old.max(at));
-            self.proved.set(Some(latest));
-            if self.news.is_anew(before, Some(latest)) {
+            self.verified_at.set(Some(latest));
+            if self.freshness.is_anew(before, Some(latest)) {
                 self.changed.send_modify(|count| *count += 1);
             }
         }
     }
 
     /// Until when servers of which news has just come may still be asked.
-    fn grace(&self) -> Grace {
+    fn lapse_grace(&self) -> Grace {
         let before = Before {
-            proved: self.proved.get(),
-            away: self.away.get(),
+            proved: self.verified_at.get(),
+            away: self.outage_at.get(),
         };
-        Grace::within(self.news.bound, self.now(), before)
+        Grace::within(self.freshness.bound, self.now(), before)
     }
 
     /// Notes that the service was away until `age` ago, as this host found or was told.
-    pub fn note_away(&self, age: Duration) {
+    pub fn record_outage(&self, age: Duration) {
         let at = Some(self.now().saturating_sub(age));
-        self.away.set(self.away.get().max(at));
+        self.outage_at.set(self.outage_at.get().max(at));
     }
 
     /// Time since the service was last known to be away; none if it never was.
-    pub fn away(&self) -> Option<Duration> {
-        let at = self.away.get()?;
+    pub fn time_since_outage(&self) -> Option<Duration> {
+        let at = self.outage_at.get()?;
         Some(self.now().saturating_sub(at))
     }
 
     /// Notes over which hosts what is believed comes, and tells followers at once if that changes: one of
     /// them may find itself on it.
-    pub fn take_way(&self, way: Way) {
-        if *self.way.borrow() != way {
-            self.way.replace(way);
+    pub fn set_path(&self, way: Way) {
+        if *self.path.borrow() != way {
+            self.path.replace(way);
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
     /// Time since what is believed was known to be all there is.
     pub fn age(&self) -> Option<Duration> {
-        let proved = self.proved.get()?;
+        let proved = self.verified_at.get()?;
         Some(self.now().saturating_sub(proved))
     }
 
     /// Whether a request is served by what is believed now, or waits for news.
     fn admit(&self) -> Admission {
         match self.age().filter(|_| self.is_on(Mechanism::CatchUp)) {
-            Some(age) => self.news.admit(age, self.away()),
+            Some(age) => self.freshness.admit(age, self.time_since_outage()),
             None => Admission::Serve,
         }
     }
@@ -236,7 +236,7 @@
             Ok(()) => "news came",
             Err(_) => "no news",
         };
-        self.board.count(metric::CAUGHT_UP, kind);
+        self.metrics.count(metric::CAUGHT_UP, kind);
     }
 
     /// What a follower that knows everything up to `after` is told; none if it misses nothing.
@@ -244,8 +244,8 @@
     /// # Errors
     ///
     /// When it can't be encoded.
-    pub(crate) fn news_after(&self, after: id::Revision) -> Result<Option<Content>> {
-        if let Some(told) = self.told.borrow().as_ref()
+    pub(crate) fn update_after(&self, after: id::Revision) -> Result<Option<Content>> {
+        if let Some(told) = self.last_update.borrow().as_ref()
             && told.after == after
         {
             return Ok(Some(told.content.clone()));
@@ -253,8 +253,8 @@
         let Some(news) = self.catalog.borrow().news(after) else {
             return Ok(None);
         };
-        let content = Content::of(news, self.is_on(Mechanism::Packing), "follower")?;
-        self.told.replace(Some(Told {
+        let content = Content::encode(news, self.is_on(Mechanism::Packing), "follower")?;
+        self.last_update.replace(Some(EncodedUpdate {
             after,
             content: content.clone(),
         }));
@@ -262,8 +262,8 @@
     }
 
     /// Serves new requests by what is believed now.
-    pub fn redraw(&self) {
-        self.told.replace(None);
+    pub fn publish_view(&self) {
+        self.last_update.replace(None);
         let view = self.catalog.borrow().view();
         if let Some(view) = view {
             self.core.borrow_mut().adopt(view);
@@ -277,8 +277,8 @@
     }
 
     /// Takes in which hosts there are.
-    pub fn count_hosts(&self) {
-        self.take_place();
+    pub fn update_hosts(&self) {
+        self.update_share();
         let swim = self.swim.borrow();
         let serving = swim.serving();
         let serving = serving.map(|m| (m.host.clone(), m.domain.clone()));
@@ -287,7 +287,7 @@
 
     /// Takes in how many hosts this one shares with; also due as time passes, since those that ended stop
     /// counting after a while.
-    pub fn take_place(&self) {
+    pub fn update_share(&self) {
         let swim = self.swim.borrow();
         let mut core = self.core.borrow_mut();
         let now = self.now();
@@ -298,11 +298,11 @@
             .borrow_mut()
             .update(&self.name, present, now, window);
         core.share.update(place, now, window);
-        self.board.gauge(metric::HOSTS, f64::from(place.hosts));
+        self.metrics.gauge(metric::HOSTS, f64::from(place.hosts));
     }
 }
 
-fn tell(change: &Change, revision: id::Revision, provenance: &Provenance) {
+fn log_change(change: &Change, revision: id::Revision, provenance: &Provenance) {
     match change {
         Change::Config(version) => info!(
             event = "config",
@@ -310,7 +310,7 @@
             revision,
             origin = ?provenance.origin,
             age_ms = provenance.age.as_millis() as u64,
-            before_ms = provenance.before.map(|age| age.as_millis() as u64),
+            before_ms = provenance.previous_age.map(|age| age.as_millis() as u64),
             "in force"
         ),
         Change::Refused { key, cause } => warn!(event = "item", key, cause, revision, "refused"),
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -39,13 +39,13 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Longest time to read a request of the balancer or of an operator.
-const PLAIN_TIMEOUT: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest message of another host, in bytes.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+const MAX_REQUEST_BYTES: usize = 4 * 1024 * 1024;
 
 /// The next connection; a failed `accept` is tried again after a pause.
-pub(crate) async fn accepted(listener: &TcpListener) -> TcpStream {
+pub(crate) async fn accept_with_retry(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
@@ -67,25 +67,25 @@
 }
 
 /// Tells the balancer or operators how this process is.
-pub async fn plain<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, audience: Audience)
+pub async fn serve_operations<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, audience: Audience)
 where
     D: Dialect,
     S: Source,
 {
     loop {
-        let stream = accepted(&listener).await;
+        let stream = accept_with_retry(&listener).await;
         let host = host.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
                 let response = match audience {
                     Audience::Balancer => readiness(&host),
-                    Audience::Operators => operate(&host, &request),
+                    Audience::Operators => handle_operator_request(&host, &request),
                 };
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(PLAIN_TIMEOUT)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             // Its error concerns nobody but the one who asked.
             let _ = connection.await;
@@ -100,8 +100,8 @@
     S: Source,
 {
     let now = host.now();
-    let board = &host.board;
-    if let Some(bytes) = memory::resident() {
+    let board = &host.metrics;
+    if let Some(bytes) = memory::resident_bytes() {
         board.gauge(metric::MEMORY, bytes as f64);
     }
     board.gauge(metric::FOLLOWERS, host.followers.get() as f64);
@@ -123,7 +123,10 @@
     response
 }
 
-fn operate<D, S>(host: &Host<D, S>, request: &Request<Incoming>) -> Response<Full<Bytes>>
+fn handle_operator_request<D, S>(
+    host: &Host<D, S>,
+    request: &Request<Incoming>,
+) -> Response<Full<Bytes>>
 where
     D: Dialect,
     S: Source,
@@ -149,18 +152,18 @@
 type Body = Either<Full<Bytes>, frame::Body>;
 
 /// Serves other hosts.
-pub async fn nodes<D, S>(host: Rc<Host<D, S>>, listener: TcpListener)
+pub async fn serve_hosts<D, S>(host: Rc<Host<D, S>>, listener: TcpListener)
 where
     D: Dialect,
     S: Source,
 {
     loop {
-        let stream = accepted(&listener).await;
-        tokio::task::spawn_local(node(host.clone(), stream));
+        let stream = accept_with_retry(&listener).await;
+        tokio::task::spawn_local(serve_host_connection(host.clone(), stream));
     }
 }
 
-async fn node<D, S>(host: Rc<Host<D, S>>, stream: TcpStream)
+async fn serve_host_connection<D, S>(host: Rc<Host<D, S>>, stream: TcpStream)
 where
     D: Dialect,
     S: Source,
@@ -168,7 +171,7 @@
     set_socket_options(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
         let host = host.clone();
-        async move { Ok::<_, Infallible>(serve_node(host, request).await) }
+        async move { Ok::<_, Infallible>(handle_host_request(host, request).await) }
     });
     let connection = http2::Builder::new(Executor)
         .timer(TokioTimer::new())
@@ -177,14 +180,17 @@
     let _ = connection.await;
 }
 
-async fn serve_node<D, S>(host: Rc<Host<D, S>>, request: Request<Incoming>) -> Response<Body>
+async fn handle_host_request<D, S>(
+    host: Rc<Host<D, S>>,
+    request: Request<Incoming>,
+) -> Response<Body>
 where
     D: Dialect,
     S: Source,
 {
     let path = request.uri().path().to_owned();
     if path == branch::PATH {
-        let body = http_body_util::Limited::new(request.into_body(), MOST_BYTES);
+        let body = http_body_util::Limited::new(request.into_body(), MAX_REQUEST_BYTES);
         let answered = match body.collect().await {
             Ok(body) => branch::answer::answer(&host, &body.to_bytes()),
             Err(e) => Err(Error::new(Step::Read, "host", e)),
@@ -193,7 +199,7 @@
             Ok(body) => Response::new(Either::Right(body)),
             Err(error) => {
                 warn!(event = "branch", %error, "not served");
-                bad().map(Either::Left)
+                bad_request().map(Either::Left)
             }
         };
     }
@@ -204,9 +210,9 @@
     match after.and_then(|after| after.parse().ok()) {
         Some(after) => {
             let questions = Some(request.into_body());
-            Response::new(Either::Right(feed::tell::tell(host, after, questions)))
+            Response::new(Either::Right(feed::tell::body(host, after, questions)))
         }
-        None => bad().map(Either::Left),
+        None => bad_request().map(Either::Left),
     }
 }
 
@@ -215,7 +221,7 @@
     D: Dialect,
     S: Source,
 {
-    let body = http_body_util::Limited::new(body, MOST_BYTES);
+    let body = http_body_util::Limited::new(body, MAX_REQUEST_BYTES);
     let answered = match body.collect().await {
         Ok(body) => quarantine::answer(host, &body.to_bytes()),
         Err(e) => Err(Error::new(Step::Read, "host", e)),
@@ -224,12 +230,12 @@
         Ok(answer) => Response::new(Either::Left(Full::new(answer))),
         Err(error) => {
             warn!(event = "quarantine", %error, "not served");
-            bad().map(Either::Left)
+            bad_request().map(Either::Left)
         }
     }
 }
 
-fn bad() -> Response<Full<Bytes>> {
+fn bad_request() -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
--- a/crates/lentillift-gateway/src/log.rs
+++ b/crates/lentillift-gateway/src/log.rs
@@ -18,17 +18,17 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Lines that wait at most; a second of the most talkative load.
-const QUEUE: usize = 2048;
+const QUEUE_LINES: usize = 2048;
 
 /// Lines that are written in one second at most; formatting and writing one takes some 20 us of the
 /// processor, so this is 2% of a quarter of a core.
-const RATE: f64 = 250.0;
+const LINES_PER_SECOND: f64 = 250.0;
 
 /// Lines that may be written at once after a calm time.
-const BURST: f64 = 500.0;
+const BURST_LINES: f64 = 500.0;
 
 /// Time for which lines gather before they are written together: one wake-up in place of many.
-const GATHER: Duration = Duration::from_millis(50);
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A way to write lines.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
     where
         W: Write + Send + 'static,
     {
-        let (lines, queue) = sync_channel(QUEUE);
+        let (lines, queue) = sync_channel(QUEUE_LINES);
         let dropped: Arc<AtomicU64> = Arc::default();
         let counter = dropped.clone();
         std::thread::spawn(move || drain(&queue, &counter, output));
@@ -63,7 +63,7 @@
 
     /// Waits until what was logged so far has been written, before the process ends.
     pub fn wait_until_written(&self) {
-        std::thread::sleep(GATHER * 3);
+        std::thread::sleep(BATCH_INTERVAL * 3);
     }
 
     /// Lines that were dropped.
@@ -89,11 +89,11 @@
 where
     W: Write,
 {
-    let mut tokens = BURST;
+    let mut tokens = BURST_LINES;
     let mut last = Instant::now();
     while let Ok(first) = queue.recv() {
-        std::thread::sleep(GATHER);
-        tokens = (tokens + last.elapsed().as_secs_f64() * RATE).min(BURST);
+        std::thread::sleep(BATCH_INTERVAL);
+        tokens = (tokens + last.elapsed().as_secs_f64() * LINES_PER_SECOND).min(BURST_LINES);
         last = Instant::now();
         let mut bytes = Vec::new();
         let mut left_out = 0;
--- a/crates/lentillift-gateway/src/member.rs
+++ b/crates/lentillift-gateway/src/member.rs
@@ -29,7 +29,7 @@
             },
             _ = ticks.tick() => host.swim.borrow_mut().tick(host.now()),
         };
-        act(&host, &socket, effects);
+        apply_effects(&host, &socket, effects);
     }
 }
 
@@ -41,7 +41,7 @@
     match datagram::decode(bytes) {
         Ok(packet) => host.swim.borrow_mut().packet(host.now(), packet),
         Err(error) => {
-            host.board.count(metric::MALFORMED, "datagram");
+            host.metrics.count(metric::MALFORMED, "datagram");
             tracing::debug!(event = "datagram", error, "malformed");
             Vec::new()
         }
@@ -49,7 +49,7 @@
 }
 
 /// Carries out what membership decides.
-pub fn act<D, S>(host: &Host<D, S>, socket: &UdpSocket, effects: Vec<Effect>)
+pub fn apply_effects<D, S>(host: &Host<D, S>, socket: &UdpSocket, effects: Vec<Effect>)
 where
     D: Dialect,
     S: Source,
@@ -76,6 +76,6 @@
         }
     }
     if changed {
-        host.count_hosts();
+        host.update_hosts();
     }
 }
--- a/crates/lentillift-gateway/src/memory.rs
+++ b/crates/lentillift-gateway/src/memory.rs
@@ -1,16 +1,16 @@
 //! Memory of this process, as the system counts it.
 
 /// Where Linux tells it.
-const STATUS: &str = "/proc/self/status";
+const STATUS_PATH: &str = "/proc/self/status";
 
 /// Bytes in memory; none where the system does not tell.
-pub fn resident() -> Option<u64> {
-    let status = std::fs::read_to_string(STATUS).ok()?;
-    parse(&status)
+pub fn resident_bytes() -> Option<u64> {
+    let status = std::fs::read_to_string(STATUS_PATH).ok()?;
+    parse_resident_bytes(&status)
 }
 
 /// The line `VmRSS:  9404 kB` of a status file, in bytes.
-pub fn parse(status: &str) -> Option<u64> {
+pub fn parse_resident_bytes(status: &str) -> Option<u64> {
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))?;
--- a/crates/lentillift-gateway/src/message.rs
+++ b/crates/lentillift-gateway/src/message.rs
@@ -26,7 +26,7 @@
 }
 
 /// Headers that concern one connection.
-const OWN: [HeaderName; 8] = [
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -38,7 +38,7 @@
 ];
 
 /// Removes the headers that concern only the connection they came on.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -49,7 +49,7 @@
     for name in named {
         headers.remove(name);
     }
-    for name in &OWN {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/lentillift-gateway/src/metric.rs
+++ b/crates/lentillift-gateway/src/metric.rs
@@ -22,10 +22,10 @@
 pub const SERVERS_ENDED: &str = "lentillift_gateway_servers_ended_total";
 
 /// Changes in what is held of requests under which servers ended, by what is held now.
-pub const QUARANTINE: &str = "lentillift_gateway_quarantine_changes_total";
+pub const QUARANTINE_CHANGES: &str = "lentillift_gateway_quarantine_changes_total";
 
 /// Repeated sends that the budget did not allow.
-pub const UNPAID: &str = "lentillift_gateway_repeats_refused_total";
+pub const REPEATS_REFUSED: &str = "lentillift_gateway_repeats_refused_total";
 
 /// Calls to the service that publishes, by kind and outcome.
 pub const SERVICE_CALLS: &str = "lentillift_gateway_service_calls_total";
@@ -61,10 +61,10 @@
 pub const CAUGHT_UP: &str = "lentillift_gateway_caught_up_total";
 
 /// Bytes of published state that were told to followers.
-pub const NEWS_TOLD: &str = "lentillift_gateway_news_told_bytes_total";
+pub const UPDATE_BYTES_SENT: &str = "lentillift_gateway_news_told_bytes_total";
 
 /// Bytes of published state that were heard from other hosts.
-pub const NEWS_HEARD: &str = "lentillift_gateway_news_heard_bytes_total";
+pub const UPDATE_BYTES_RECEIVED: &str = "lentillift_gateway_news_heard_bytes_total";
 
 /// Age of what is believed of the published state.
 pub const AGE: &str = "lentillift_gateway_age_seconds";
@@ -83,18 +83,18 @@
 
 /// Everything that is counted, shared by the tasks of one thread.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Registry {
     metrics: RefCell<Metrics>,
 }
 
-impl Board {
+impl Registry {
     /// Counts one event of `name` with an outcome, a reason or a kind.
     pub fn count(&self, name: &'static str, kind: &'static str) {
         self.metrics.borrow_mut().add(name, &[("kind", kind)], 1);
     }
 
     /// Counts one call of a kind, and whether it brought what was asked for.
-    pub fn call(&self, name: &'static str, kind: &'static str, succeeded: bool) {
+    pub fn count_call(&self, name: &'static str, kind: &'static str, succeeded: bool) {
         let outcome = if succeeded { "ok" } else { "failed" };
         let labels = [("kind", kind), ("outcome", outcome)];
         self.metrics.borrow_mut().add(name, &labels, 1);
@@ -111,7 +111,7 @@
     }
 
     /// Notes how long something took.
-    pub fn time(&self, name: &'static str, labels: &[(&str, &str)], took: Duration) {
+    pub fn observe(&self, name: &'static str, labels: &[(&str, &str)], took: Duration) {
         self.metrics.borrow_mut().record(name, labels, took);
     }
 
--- a/crates/lentillift-gateway/src/notice.rs
+++ b/crates/lentillift-gateway/src/notice.rs
@@ -10,7 +10,7 @@
 
 /// A question of a follower whether it knows all that its origin does, as it stands on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Question {
+pub(crate) struct FreshnessQuery {
     pub(crate) number: u32,
 }
 
@@ -18,17 +18,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Frame {
     /// The last question that had arrived when this was written; 0 before the first.
-    pub(crate) answers: u32,
+    pub(crate) answered_query: u32,
     /// Age of the sender's knowledge when this was written; none if it has none.
     pub(crate) age_ms: Option<u32>,
     /// Whether the sender reaches its origin, as far as it knows.
-    pub(crate) steady: bool,
+    pub(crate) origin_reachable: bool,
     /// Hosts over which the sender's knowledge came, the one that read the service first and the sender
     /// last; empty if it has none.
-    pub(crate) way: Vec<String>,
+    pub(crate) path: Vec<String>,
     /// Time since the service was last known to be away; none if it never was.
-    pub(crate) away_ms: Option<u32>,
-    pub(crate) news: Option<Content>,
+    pub(crate) outage_age_ms: Option<u32>,
+    pub(crate) update: Option<Content>,
 }
 
 /// A [`Notice`], encoded; see [`Packed`].
@@ -44,8 +44,8 @@
     /// # Errors
     ///
     /// When it can't be encoded.
-    pub(crate) fn of(news: News, is_packed: bool, peer: &str) -> Result<Self> {
-        let encoded = frame::encode(&Notice::from(news), peer)?.to_vec();
+    pub(crate) fn encode(news: News, is_packed: bool, peer: &str) -> Result<Self> {
+        let encoded = frame::encode(&Update::from(news), peer)?.to_vec();
         let packed = match is_packed {
             true => Packed::pack(encoded),
             false => Packed::Plain(encoded),
@@ -58,9 +58,9 @@
     /// # Errors
     ///
     /// When it is malformed.
-    pub(crate) fn news(self, peer: &str) -> Result<News> {
+    pub(crate) fn decode(self, peer: &str) -> Result<News> {
         let encoded = Packed::from(self).unpack(peer)?;
-        let notice: Notice = frame::decode(&encoded, peer)?;
+        let notice: Update = frame::decode(&encoded, peer)?;
         Ok(notice.into())
     }
 }
@@ -85,7 +85,7 @@
 
 /// See [`News`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub(crate) enum Notice {
+pub(crate) enum Update {
     All(u64, Vec<Entry>),
     Changes(u64, Vec<Entry>),
 }
@@ -110,7 +110,7 @@
     }
 }
 
-impl From<News> for Notice {
+impl From<News> for Update {
     fn from(news: News) -> Self {
         let entries = |items: Vec<Item>| items.into_iter().map(Entry::from).collect();
         match news {
@@ -120,15 +120,15 @@
     }
 }
 
-impl From<Notice> for News {
-    fn from(notice: Notice) -> Self {
+impl From<Update> for News {
+    fn from(notice: Update) -> Self {
         let items = |entries: Vec<Entry>| entries.into_iter().map(Item::from).collect();
         match notice {
-            Notice::All(revision, entries) => Self::All {
+            Update::All(revision, entries) => Self::All {
                 revision,
                 items: items(entries),
             },
-            Notice::Changes(revision, entries) => Self::Changes {
+            Update::Changes(revision, entries) => Self::Changes {
                 revision,
                 items: items(entries),
             },
--- a/crates/lentillift-gateway/src/pack.rs
+++ b/crates/lentillift-gateway/src/pack.rs
@@ -5,7 +5,7 @@
 //! passes it on, and searches of these hosts wait behind it. Published text says the same field names again
 //! and again and shrinks to a tenth.
 
-use crate::frame::MOST_BYTES;
+use crate::frame::MAX_MESSAGE_BYTES;
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
@@ -16,7 +16,7 @@
 use std::io::Write;
 
 /// Content below this many bytes is not packed: it fits into a packet or two.
-const LEAST_BYTES: usize = 2048;
+const MIN_PACKED_BYTES: usize = 2048;
 
 /// Content as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 impl Packed {
     /// Packs `content` if that makes it smaller.
     pub fn pack(content: Vec<u8>) -> Self {
-        if content.len() < LEAST_BYTES {
+        if content.len() < MIN_PACKED_BYTES {
             return Self::Plain(content);
         }
         match deflate(&content) {
@@ -52,12 +52,12 @@
         };
         let mut content = Vec::new();
         // One byte more than any message has tells content that would go on.
-        let most = MOST_BYTES as u64 + 1;
+        let most = MAX_MESSAGE_BYTES as u64 + 1;
         let mut decoder = DeflateDecoder::new(deflated.as_slice()).take(most);
         let read = decoder.read_to_end(&mut content);
         read.map_err(|e| Error::new(Step::Decode, peer, e))?;
         match content.len() {
-            0..=MOST_BYTES => Ok(content),
+            0..=MAX_MESSAGE_BYTES => Ok(content),
             _ => Err(Error::new(Step::Decode, peer, "too large when unpacked")),
         }
     }
--- a/crates/lentillift-gateway/src/part.rs
+++ b/crates/lentillift-gateway/src/part.rs
@@ -7,7 +7,7 @@
 
 /// What one send brought.
 #[derive(Debug)]
-pub struct Part {
+pub struct SendResult {
     /// What it brought.
     pub content: Content,
 }
@@ -21,7 +21,7 @@
     Merged(Merged),
 }
 
-impl Part {
+impl SendResult {
     /// The signature of a single backend server's reply.
     pub fn signature(&self) -> Option<&str> {
         match &self.content {
@@ -49,11 +49,11 @@
 
 /// How a request ended.
 #[derive(Debug)]
-pub struct Done {
+pub struct RequestResult {
     /// What to do.
     pub next: Next,
     /// What the sends brought that the answer is made of, or the failure to pass on.
-    pub parts: Vec<Part>,
+    pub parts: Vec<SendResult>,
     /// Sends that were made as repeats.
     pub repeats: u32,
     /// Repeats that the budget did not allow.
--- a/crates/lentillift-gateway/src/peer.rs
+++ b/crates/lentillift-gateway/src/peer.rs
@@ -24,7 +24,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Bytes that a peer may send before they are read.
-const WINDOW: u32 = 1024 * 1024;
+const WINDOW_BYTES: u32 = 1024 * 1024;
 
 /// What is sent: a whole message, or messages that are made while they are sent.
 type Body = Either<Full<Bytes>, frame::Body>;
@@ -112,8 +112,8 @@
     let stream = stream.map_err(|e| fail(&e))?;
     set_socket_options(&stream);
     let shaken = http2::Builder::new(Executor)
-        .initial_stream_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_stream_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .handshake(TokioIo::new(stream))
         .await;
     let (sender, connection) = shaken.map_err(|e| fail(&e))?;
--- a/crates/lentillift-gateway/src/pool.rs
+++ b/crates/lentillift-gateway/src/pool.rs
@@ -33,20 +33,20 @@
 /// Time after which bytes that nobody acknowledged end a connection.
 ///
 /// A connection that went silent would otherwise take requests until TCP gives up after minutes.
-const SILENCE: Duration = Duration::from_millis(1500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Longest time to find out whether anybody listens at an address. The next send for the request waits
 /// for it.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(50);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How long a connection is kept if the server does not say how long it keeps it.
-const KEEP: Duration = Duration::from_secs(8);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(8);
 
 /// Time before a server's idle timeout at which a connection is no longer used.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Largest reply, in bytes; a larger one would crowd out other requests' memory.
-const MOST_BYTES: usize = 8 * 1024 * 1024;
+const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why an exchange failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 struct Idle {
     sender: Sender,
     since: Instant,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 /// All connections to backend servers.
@@ -107,7 +107,7 @@
     {
         let backend = &server.entry.id;
         loop {
-            let kept = self.take(backend, kind);
+            let kept = self.take_idle(backend, kind);
             let fresh = kept.is_none();
             let mut sender = match kept {
                 Some(sender) => sender,
@@ -127,20 +127,20 @@
                 Err(mut failed) => match failed.take_message() {
                     Some(unsent) if !fresh => request = unsent,
                     Some(_) => return Err(Failure::Unsent("closed before the request")),
-                    None => return Err(lost_reply(failed.error())),
+                    None => return Err(reply_failure(failed.error())),
                 },
             }
         }
     }
 
     /// Takes a connection that the server still keeps, the one used last first.
-    fn take(&self, backend: &id::Backend, kind: Kind) -> Option<Sender> {
+    fn take_idle(&self, backend: &id::Backend, kind: Kind) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(backend)?;
         while let Some(last) = kept.pop() {
             let keep = match kind {
-                Kind::Idempotent => last.keep,
-                Kind::Once => last.keep / 2,
+                Kind::Idempotent => last.keep_alive,
+                Kind::Once => last.keep_alive / 2,
             };
             if !last.sender.is_closed() && last.since.elapsed() < keep {
                 return Some(last.sender);
@@ -153,10 +153,10 @@
     ///
     /// A connection that could be opened is kept.
     pub async fn is_refused(&self, server: &Server) -> bool {
-        let opened = tokio::time::timeout(LOOK_TIMEOUT, self.open(server.entry.address)).await;
+        let opened = tokio::time::timeout(PROBE_TIMEOUT, self.open(server.entry.address)).await;
         match opened {
             Ok(Ok(sender)) => {
-                self.keep(&server.entry.id, sender, KEEP);
+                self.put_idle(&server.entry.id, sender, DEFAULT_KEEP_ALIVE);
                 false
             }
             Ok(Err(failure)) => failure == REFUSED,
@@ -190,22 +190,22 @@
         response: Response<hyper::body::Incoming>,
     ) -> Result<Response<Bytes>, Failure> {
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, MOST_BYTES).collect().await;
+        let body = Limited::new(body, MAX_REPLY_BYTES).collect().await;
         let body = body.map_err(|e| match e.is::<http_body_util::LengthLimitError>() {
             true => Failure::Broken("reply too large"),
             false => Failure::Cut("reply cut off"),
         })?;
-        if keeps_open(&head.headers) {
-            self.keep(backend, sender, keep_time(&head.headers));
+        if is_persistent(&head.headers) {
+            self.put_idle(backend, sender, keep_alive_time(&head.headers));
         }
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 
-    fn keep(&self, backend: &id::Backend, sender: Sender, keep: Duration) {
+    fn put_idle(&self, backend: &id::Backend, sender: Sender, keep: Duration) {
         let idle = Idle {
             sender,
             since: Instant::now(),
-            keep,
+            keep_alive: keep,
         };
         let mut all = self.idle.borrow_mut();
         all.entry(backend.clone()).or_default().push(idle);
@@ -218,7 +218,7 @@
     {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|backend, kept| {
-            kept.retain(|one| !one.sender.is_closed() && one.since.elapsed() < one.keep);
+            kept.retain(|one| !one.sender.is_closed() && one.since.elapsed() < one.keep_alive);
             !kept.is_empty() && keeps(backend)
         });
     }
@@ -228,18 +228,18 @@
 pub fn set_socket_options(stream: &TcpStream) {
     // Both only make failures show sooner; a connection works without.
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(SILENCE));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
 /// What it means that no reply came over a connection.
-fn lost_reply(error: &hyper::Error) -> Failure {
+fn reply_failure(error: &hyper::Error) -> Failure {
     match error.is_parse() {
         true => Failure::Broken("malformed reply"),
         false => Failure::Cut("no whole reply"),
     }
 }
 
-fn keeps_open(headers: &http::HeaderMap) -> bool {
+fn is_persistent(headers: &http::HeaderMap) -> bool {
     let named = headers.get_all(header::CONNECTION).iter();
     !named
         .filter_map(|value| value.to_str().ok())
@@ -247,7 +247,7 @@
 }
 
 /// How long the server keeps a connection without a request, by its `Keep-Alive` header.
-fn keep_time(headers: &http::HeaderMap) -> Duration {
+fn keep_alive_time(headers: &http::HeaderMap) -> Duration {
     let told = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let told = told.and_then(|value| {
         let parts = value.split(',').map(str::trim);
@@ -255,5 +255,7 @@
         timeout.filter_map(|seconds| seconds.parse().ok()).next()
     });
     let told = told.map(Duration::from_secs);
-    told.map_or(KEEP, |told| told.saturating_sub(KEEP_MARGIN))
+    told.map_or(DEFAULT_KEEP_ALIVE, |told| {
+        told.saturating_sub(KEEP_ALIVE_MARGIN)
+    })
 }
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -42,7 +42,7 @@
 pub const FANOUT: usize = 8;
 
 /// Time for which news gathers. Most doubts are over within it.
-const GATHER: Duration = Duration::from_millis(5);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// Time between two exchanges with another host until the first one has succeeded, and while anything held is
 /// younger than [`RECENT`]: hosts that missed the news have to know soon.
@@ -58,13 +58,13 @@
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Requests that are told of in one message.
-const MOST: usize = 64;
+const MAX_ACCOUNTS: usize = 64;
 
 /// Largest message, in bytes.
 const MOST_BYTES: usize = 64 * 1024;
 
 /// Tells and asks other hosts until the process is over.
-pub async fn spread<D, S>(host: Rc<Host<D, S>>)
+pub async fn gossip<D, S>(host: Rc<Host<D, S>>)
 where
     D: Dialect,
     S: Source,
@@ -95,12 +95,12 @@
     D: Dialect,
     S: Source,
 {
-    tokio::time::sleep(GATHER).await;
+    tokio::time::sleep(BATCH_DELAY).await;
     let mut news = host.core.borrow_mut().quarantine.news(host.now());
-    news.iter().for_each(|account| tell(host, account));
+    news.iter().for_each(|account| log_state(host, account));
     // What is decided goes first.
     news.sort_by_key(|account| account.state == State::Suspect);
-    for accounts in news.chunks(MOST) {
+    for accounts in news.chunks(MAX_ACCOUNTS) {
         for peer in peers(host, FANOUT) {
             tokio::task::spawn_local(send(host.clone(), peer, accounts.to_vec()));
         }
@@ -113,12 +113,16 @@
     D: Dialect,
     S: Source,
 {
-    let held = host.core.borrow().quarantine.accounts(MOST, host.now());
+    let held = host
+        .core
+        .borrow()
+        .quarantine
+        .accounts(MAX_ACCOUNTS, host.now());
     if has_joined && held.is_empty() {
         return true;
     }
     let accounts = match has_joined {
-        true => worth_telling(held),
+        true => accounts_to_send(held),
         false => Vec::new(),
     };
     match peers(host, 1).first() {
@@ -143,7 +147,7 @@
     let answered = tokio::time::timeout(TIMEOUT, call(&host, peer, &accounts)).await;
     let failed = match answered {
         Ok(Ok(answer)) => {
-            hear(&host, &peer.to_string(), &answer.accounts);
+            merge_accounts(&host, &peer.to_string(), &answer.accounts);
             return true;
         }
         Ok(Err(error)) => error,
@@ -181,7 +185,7 @@
 }
 
 /// What is young, if anything is; the rest has reached nearly all hosts and is told in calm times.
-pub fn worth_telling(mut held: Vec<Account>) -> Vec<Account> {
+pub fn accounts_to_send(mut held: Vec<Account>) -> Vec<Account> {
     if held.iter().any(|account| account.age < RECENT) {
         held.retain(|account| account.age < RECENT);
     }
@@ -200,17 +204,21 @@
     S: Source,
 {
     let message: wire::Message = frame::decode(body, "host")?;
-    let held = host.core.borrow().quarantine.accounts(MOST, host.now());
-    hear(host, "host", &message.accounts);
+    let held = host
+        .core
+        .borrow()
+        .quarantine
+        .accounts(MAX_ACCOUNTS, host.now());
+    merge_accounts(host, "host", &message.accounts);
     let told = match message.accounts.is_empty() {
         true => held,
-        false => worth_telling(held),
+        false => accounts_to_send(held),
     };
     frame::encode(&wire::Message::from(told.as_slice()), "host")
 }
 
 /// Takes in what another host holds; what is new is passed on.
-pub(crate) fn hear<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
+pub(crate) fn merge_accounts<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
     let accounts: Vec<Account> = accounts.iter().map(Account::from).collect();
     let now = host.clock.now();
     let new = host.core.borrow_mut().hear(&accounts, now);
@@ -220,7 +228,7 @@
     }
 }
 
-fn name(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Suspect => "suspect",
         State::Quarantined { .. } => "quarantined",
@@ -229,7 +237,7 @@
 }
 
 /// Time until a canary may be sent for a request that is quarantined.
-fn left(state: State) -> Option<Duration> {
+fn time_to_canary(state: State) -> Option<Duration> {
     match state {
         State::Quarantined { left, .. } => left,
         _ => None,
@@ -245,11 +253,11 @@
         .quarantine
         .accounts(usize::MAX, host.clock.now());
     let lines = accounts.iter().map(|account| {
-        let left = left(account.state).map(|left| format!(" left_s={}", left.as_secs()));
+        let left = time_to_canary(account.state).map(|left| format!(" left_s={}", left.as_secs()));
         format!(
             "{} {} ends={} age_s={}{}\n",
             account.fingerprint,
-            name(account.state),
+            state_name(account.state),
             account.ends.len(),
             account.age.as_secs(),
             left.unwrap_or_default(),
@@ -274,16 +282,16 @@
 }
 
 /// Logs what is decided of a request.
-fn tell<D, S>(host: &Host<D, S>, account: &Account) {
-    let state = name(account.state);
-    host.board.count(metric::QUARANTINE, state);
+fn log_state<D, S>(host: &Host<D, S>, account: &Account) {
+    let state = state_name(account.state);
+    host.metrics.count(metric::QUARANTINE_CHANGES, state);
     info!(
         event = "quarantine",
         fingerprint = %account.fingerprint,
         state,
         ends = account.ends.len(),
         age_ms = account.age.as_millis() as u64,
-        left_ms = left(account.state).map(|left| left.as_millis() as u64),
+        left_ms = time_to_canary(account.state).map(|left| left.as_millis() as u64),
         "changed"
     );
 }
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -1,19 +1,19 @@
 //! Carries out what a query decides: sends, waits, and collects the parts.
 
+use crate::branch::BranchReply;
 use crate::branch::Merged;
-use crate::branch::Told;
 use crate::dialect::Dialect;
-use crate::exchange::Ended;
+use crate::exchange::ExchangeResult;
 use crate::flight;
-use crate::flight::Arrival;
-use crate::flight::Flights;
+use crate::flight::Completion;
 use crate::flight::Hop;
+use crate::flight::InFlight;
 use crate::host::Host;
 use crate::message::Message;
 use crate::metric;
 use crate::part::Content;
-use crate::part::Done;
-use crate::part::Part;
+use crate::part::RequestResult;
+use crate::part::SendResult;
 use crate::source::Source;
 use futures_util::FutureExt;
 use futures_util::StreamExt;
@@ -35,10 +35,10 @@
 use tracing::info;
 
 /// Bytes that are told of one request at most.
-const MOST_NOTES: usize = 2000;
+const MAX_NOTES_BYTES: usize = 2000;
 
 /// Shortest time that is waited for; timers are no finer.
-const SHORTEST_WAIT: Duration = Duration::from_micros(500);
+const MIN_WAIT: Duration = Duration::from_micros(500);
 
 /// A query and its sends; gives them up when it is dropped, as when its caller leaves.
 pub struct Run<D, S>
@@ -48,10 +48,10 @@
 {
     host: Rc<Host<D, S>>,
     query: Query,
-    flights: Flights,
+    in_flight: InFlight,
     message: Rc<Message>,
     authority: Rc<str>,
-    parts: HashMap<Number, Part>,
+    parts: HashMap<Number, SendResult>,
     /// What happened to it, for the log.
     notes: String,
     /// Whether it was decided how the request ends.
@@ -67,7 +67,7 @@
         let now = self.host.now();
         if !self.finished {
             let after = now.saturating_sub(self.query.plan().arrived);
-            self.host.board.count(metric::REQUESTS, "abandoned");
+            self.host.metrics.count(metric::REQUESTS, "abandoned");
             info!(
                 event = "abandoned",
                 id = %self.message.id,
@@ -94,17 +94,17 @@
     plan: Plan,
     message: Rc<Message>,
     authority: Rc<str>,
-) -> Done
+) -> RequestResult
 where
     D: Dialect,
     S: Source,
 {
     let mut run = Run::start(host, plan, message, authority);
-    let next = run.finish().await;
+    let next = run.run_until_decided().await;
     let done = run.done(next);
     // Closing their connections may keep servers from ending.
-    if !run.flights.is_empty() && !run.query.is_quarantined() {
-        tokio::task::spawn_local(run.outlive());
+    if !run.in_flight.is_empty() && !run.query.is_quarantined() {
+        tokio::task::spawn_local(run.drain());
     }
     done
 }
@@ -129,7 +129,7 @@
         let mut run = Self {
             host: host.clone(),
             query,
-            flights: Flights::new(),
+            in_flight: InFlight::new(),
             message,
             authority,
             parts: HashMap::new(),
@@ -137,7 +137,7 @@
             finished: false,
         };
         run.launch(sends);
-        run.tell_quarantine();
+        run.announce_quarantine();
         run
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes what a send brought.
-    pub fn take(&mut self, number: Number) -> Option<Part> {
+    pub fn take_part(&mut self, number: Number) -> Option<SendResult> {
         self.parts.remove(&number)
     }
 
@@ -182,24 +182,24 @@
                 Hop::Far if send.repeat => "far repeat",
                 hop => hop.name(),
             };
-            self.host.board.count(metric::SENDS, way);
+            self.host.metrics.count(metric::SENDS, way);
             if send.repeat {
-                self.tell_repeat(&send);
+                self.note_repeat(&send);
             }
-            let flight = flight::fly(
+            let flight = flight::send_once(
                 self.host.clone(),
                 self.query.plan().route.clone(),
-                self.names(&send),
+                self.leg_services(&send),
                 send,
                 self.message.clone(),
                 self.authority.clone(),
             );
-            self.flights.push(flight.boxed_local());
+            self.in_flight.push(flight.boxed_local());
         }
     }
 
     /// Notes a repeated send: when, and which server gets it.
-    fn tell_repeat(&mut self, send: &Send) {
+    fn note_repeat(&mut self, send: &Send) {
         let leg = send.legs.first().copied().unwrap_or_default();
         let backend = match &send.target {
             Target::Server(server) => &*server.entry.id,
@@ -215,7 +215,7 @@
         let after = self.now().saturating_sub(self.query.plan().arrived);
         let after = after.as_millis();
         let service = self.query.service(leg).map_or("", |service| &**service);
-        if self.notes.len() < MOST_NOTES {
+        if self.notes.len() < MAX_NOTES_BYTES {
             // A string takes whatever is written to it.
             let _ = write!(self.notes, "+{after}ms {service}: {what}; ");
         }
@@ -228,7 +228,7 @@
     }
 
     /// The services that a send to another host is for.
-    fn names(&self, send: &Send) -> Vec<String> {
+    fn leg_services(&self, send: &Send) -> Vec<String> {
         if matches!(send.target, Target::Server(_)) {
             return Vec::new();
         }
@@ -238,7 +238,7 @@
             .collect()
     }
 
-    async fn finish(&mut self) -> Next {
+    async fn run_until_decided(&mut self) -> Next {
         loop {
             let now = self.host.now();
             let until = match self.query.next(now) {
@@ -250,7 +250,7 @@
     }
 
     /// Notes that nothing more is wanted of it.
-    pub fn settle(&mut self) {
+    pub fn mark_finished(&mut self) {
         self.finished = true;
     }
 
@@ -258,12 +258,12 @@
     pub async fn step(&mut self, until: Time) {
         let now = self.host.now();
         let until = until.min(self.query.due(now));
-        let wait = until.saturating_sub(now).max(SHORTEST_WAIT);
+        let wait = until.saturating_sub(now).max(MIN_WAIT);
         tokio::select! {
             biased;
-            arrival = self.flights.next(), if !self.flights.is_empty() => {
+            arrival = self.in_flight.next(), if !self.in_flight.is_empty() => {
                 if let Some(arrival) = arrival {
-                    self.land(arrival);
+                    self.complete(arrival);
                 }
             }
             () = tokio::time::sleep(wait) => self.tick(now + wait),
@@ -281,30 +281,30 @@
     }
 
     /// Takes in how a send ended.
-    fn land(&mut self, arrival: Arrival) {
-        let Arrival {
+    fn complete(&mut self, arrival: Completion) {
+        let Completion {
             number,
             leg,
             hop,
             took,
-            told,
+            reply: told,
         } = arrival;
-        let Told {
+        let BranchReply {
             ended,
             merged,
             rest,
         } = told;
-        self.tell(&ended, leg, hop, took);
+        self.record_completion(&ended, leg, hop, took);
         if let Some(rest) = rest {
-            self.flights
-                .push(flight::go_on(self.host.clone(), number, leg, rest).boxed_local());
+            self.in_flight
+                .push(flight::next_answer(self.host.clone(), number, leg, rest).boxed_local());
         }
         if let Some(reply) = ended.reply {
             let content = Content::Reply(reply);
-            self.parts.insert(number, Part { content });
+            self.parts.insert(number, SendResult { content });
         }
         if let Some(merged) = merged {
-            self.join(number, merged);
+            self.append_merged(number, merged);
         }
         let sends = {
             let mut core = self.host.core.borrow_mut();
@@ -312,11 +312,11 @@
             self.query.ended(&mut core, now, number, ended.outcome)
         };
         self.launch(sends);
-        self.tell_quarantine();
+        self.announce_quarantine();
     }
 
     /// Has other hosts told what this request has shown of itself.
-    fn tell_quarantine(&self) {
+    fn announce_quarantine(&self) {
         if self.host.core.borrow().quarantine.has_news() {
             self.host.quarantine_changed.notify_one();
         }
@@ -330,8 +330,8 @@
     }
 
     /// Adds what a host brought to what it brought before.
-    fn join(&mut self, number: Number, merged: Merged) {
-        let empty = || Part {
+    fn append_merged(&mut self, number: Number, merged: Merged) {
+        let empty = || SendResult {
             content: Content::Merged(Merged::default()),
         };
         let part = self.parts.entry(number).or_insert_with(empty);
@@ -341,7 +341,7 @@
         }
     }
 
-    fn tell(&mut self, ended: &Ended, leg: usize, hop: Hop, took: Duration) {
+    fn record_completion(&mut self, ended: &ExchangeResult, leg: usize, hop: Hop, took: Duration) {
         let label = match ended.outcome {
             Outcome::Part { .. } => "part",
             Outcome::Branch(_) => "branch",
@@ -355,14 +355,16 @@
         };
         let route = &*self.query.plan().route.name;
         let labels = [("route", route), ("hop", hop.name()), ("kind", label)];
-        self.host.board.time(metric::SEND_SECONDS, &labels, took);
+        self.host
+            .metrics
+            .observe(metric::SEND_SECONDS, &labels, took);
         if matches!(ended.outcome, Outcome::Part { .. } | Outcome::Branch(_)) {
             return;
         }
-        self.note(leg, &ended.why);
+        self.note(leg, &ended.reason);
     }
 
-    fn done(&mut self, next: Next) -> Done {
+    fn done(&mut self, next: Next) -> RequestResult {
         self.finished = true;
         let wanted: Vec<Number> = match &next {
             Next::Answer { sends, .. } => sends.clone(),
@@ -376,7 +378,7 @@
             .missing()
             .map(|leg| leg.service.clone())
             .collect();
-        Done {
+        RequestResult {
             next,
             parts,
             repeats: self.query.repeats(),
@@ -387,10 +389,13 @@
     }
 
     /// Waits for what is still under way.
-    async fn outlive(mut self) {
-        while let Some(arrival) = self.flights.next().await {
-            let Arrival {
-                number, leg, told, ..
+    async fn drain(mut self) {
+        while let Some(arrival) = self.in_flight.next().await {
+            let Completion {
+                number,
+                leg,
+                reply: told,
+                ..
             } = arrival;
             let now = self.host.now();
             let outcome = told.ended.outcome;
@@ -399,10 +404,10 @@
                 .close(&mut self.host.core.borrow_mut(), now, number, outcome);
             if let Some(rest) = told.rest {
                 let host = self.host.clone();
-                self.flights
-                    .push(flight::go_on(host, number, leg, rest).boxed_local());
+                self.in_flight
+                    .push(flight::next_answer(host, number, leg, rest).boxed_local());
             }
-            self.tell_quarantine();
+            self.announce_quarantine();
         }
     }
 }
--- a/crates/lentillift-gateway/tests/actions.rs
+++ b/crates/lentillift-gateway/tests/actions.rs
@@ -149,7 +149,7 @@
             gone.value = None;
             gone.revision = 9;
             let items = vec![gone];
-            host.learn(Some(News::Changes { revision: 9, items }), Duration::ZERO);
+            host.apply_update(Some(News::Changes { revision: 9, items }), Duration::ZERO);
         });
         assert_eq!(status(&answer.await), 200);
     });
@@ -163,7 +163,7 @@
             let mut config = item("config", "s7 s8".to_owned());
             config.revision = 9;
             let items = vec![config];
-            host.learn(Some(News::Changes { revision: 9, items }), Duration::ZERO);
+            host.apply_update(Some(News::Changes { revision: 9, items }), Duration::ZERO);
         });
         assert_eq!(status(&answer.await), 200);
     });
--- a/crates/lentillift-gateway/tests/ages.rs
+++ b/crates/lentillift-gateway/tests/ages.rs
@@ -115,9 +115,9 @@
     let (outer, outside) = listener().await;
     let origin = host("origin", "a", outside, Memory::default());
     let items = vec![config(1)];
-    origin.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+    origin.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     origin.swim.borrow_mut().serve();
-    tokio::task::spawn_local(listen::nodes(origin.clone(), inner));
+    tokio::task::spawn_local(listen::serve_hosts(origin.clone(), inner));
     tokio::task::spawn_local(late_way(outer, inside, lag));
     let away = Memory {
         away: true,
@@ -133,7 +133,7 @@
 /// Has `origin` know at all times that nothing has changed.
 async fn keep_proved(origin: Shared) {
     loop {
-        origin.learn(None, Duration::ZERO);
+        origin.apply_update(None, Duration::ZERO);
         tokio::time::sleep(LOOK).await;
     }
 }
@@ -173,7 +173,7 @@
                 for revision in 2..=CHANGES {
                     tokio::time::sleep(PAUSE).await;
                     let items = vec![config(revision)];
-                    origin.learn(Some(News::Changes { revision, items }), Duration::ZERO);
+                    origin.apply_update(Some(News::Changes { revision, items }), Duration::ZERO);
                     until_heard(&follower, revision).await;
                 }
             });
@@ -195,12 +195,12 @@
         let (origin, follower) = pair(|_| Duration::from_millis(150)).await;
         tokio::task::spawn_local(keep_proved(origin.clone()));
         until_known(&follower, 1).await;
-        origin.note_away(Duration::ZERO);
+        origin.record_outage(Duration::ZERO);
         let back = Instant::now();
         let mut looks = 0;
         while looks < 50 {
             let outdated = back.elapsed();
-            if let Some(away) = follower.away() {
+            if let Some(away) = follower.time_since_outage() {
                 assert!(away >= outdated, "{away:?}, and back for {outdated:?}");
                 looks += 1;
             }
@@ -244,7 +244,7 @@
     let first = backend(vec![Act::Write(whole("first"))]).await;
     let second = backend(vec![Act::Write(whole("second"))]).await;
     let served = serve(singles(&[first.address])).await;
-    tokio::time::sleep(served.host.news.bound + LOOK).await;
+    tokio::time::sleep(served.host.freshness.bound + LOOK).await;
     (served, first, second)
 }
 
@@ -271,7 +271,7 @@
     let front = served.front;
     let answer = tokio::task::spawn_local(async move { ask(front, &get("/one/x", "i")).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    served.host.learn(Some(news), Duration::ZERO);
+    served.host.apply_update(Some(news), Duration::ZERO);
     answer.await.expect("an answer")
 }
 
@@ -304,7 +304,7 @@
             served
                 .host
                 .age()
-                .is_some_and(|age| age > served.host.news.bound)
+                .is_some_and(|age| age > served.host.freshness.bound)
         };
         while !is_outdated() {
             tokio::time::sleep(LOOK).await;
@@ -319,7 +319,7 @@
 fn a_host_serves_by_old_knowledge_while_the_service_is_away() {
     run(async {
         let (served, _first, second) = outdated().await;
-        served.host.note_away(Duration::ZERO);
+        served.host.record_outage(Duration::ZERO);
         let answer = ask_before_news(&served, missed(&second)).await;
         assert!(answer.ends_with("first"), "{answer}");
     });
@@ -358,7 +358,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         let items = published("s2", &new, 2);
         let news = News::Changes { revision: 2, items };
-        served.host.learn(Some(news), Duration::ZERO);
+        served.host.apply_update(Some(news), Duration::ZERO);
         caller.write_all(b"body").await.expect("written");
         let answer = read_message(&mut caller).await.expect("an answer");
         assert!(answer.ends_with("new new new new!"), "{answer}");
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -260,7 +260,7 @@
         freshness: follow::Options::default(),
         grace: Duration::from_secs(5),
     };
-    daemon::make(&settings, Plain, source)
+    daemon::new_host(&settings, Plain, source)
 }
 
 /// A listener on a port that the system gives.
@@ -286,7 +286,7 @@
     let (listener, front) = listener().await;
     let host = host("h", "a", front, source);
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     }
     tokio::task::spawn_local(front::serve(host.clone(), listener, MOST_CALLERS));
     Served { host, front }
@@ -297,11 +297,11 @@
     let (listener, node) = listener().await;
     let host = host(name, domain, node, Memory::default());
     if !items.is_empty() {
-        host.learn(Some(News::All { revision: 1, items }), Duration::ZERO);
+        host.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     }
     host.swim.borrow_mut().serve();
-    tokio::task::spawn_local(listen::nodes(host.clone(), listener));
-    tokio::task::spawn_local(quarantine::spread(host.clone()));
+    tokio::task::spawn_local(listen::serve_hosts(host.clone(), listener));
+    tokio::task::spawn_local(quarantine::gossip(host.clone()));
     host
 }
 
@@ -318,7 +318,7 @@
         news: Vec::new(),
     };
     to.swim.borrow_mut().packet(to.now(), packet);
-    to.count_hosts();
+    to.update_hosts();
 }
 
 pub async fn front(host: &Shared) -> SocketAddr {
--- a/crates/lentillift-gateway/tests/fatal.rs
+++ b/crates/lentillift-gateway/tests/fatal.rs
@@ -122,7 +122,7 @@
 }
 
 fn ended(host: &Shared) -> u64 {
-    let text = host.board.render(host.now());
+    let text = host.metrics.render(host.now());
     let line = text
         .lines()
         .find(|line| line.starts_with("lentillift_gateway_servers_ended_total "));
@@ -259,7 +259,11 @@
         fleet.ask(0, &path).await;
         let (listener, address) = listener().await;
         let host = fleet.hosts[2].clone();
-        tokio::task::spawn_local(listen::plain(host, listener, Audience::Operators));
+        tokio::task::spawn_local(listen::serve_operations(
+            host,
+            listener,
+            Audience::Operators,
+        ));
         let mut list = String::new();
         for _ in 0..LOOKS {
             list = operate(address, "GET", "/quarantine").await;
--- a/crates/lentillift-gateway/tests/frames.rs
+++ b/crates/lentillift-gateway/tests/frames.rs
@@ -15,8 +15,8 @@
 use hyper_util::rt::TokioIo;
 use lentillift_core::error::Result;
 use lentillift_gateway::frame;
+use lentillift_gateway::frame::MessageSize;
 use lentillift_gateway::frame::Reader;
-use lentillift_gateway::frame::Size;
 use lentillift_gateway::local::Executor;
 use std::convert::Infallible;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 /// Reads one message that comes in so many parts with pauses between; gives up after `silence`.
-async fn receive(parts: usize, pause: Duration, silence: Duration) -> Result<(Large, Size)> {
+async fn receive(parts: usize, pause: Duration, silence: Duration) -> Result<(Large, MessageSize)> {
     let content = vec![7; 100_000];
     let whole = frame::frame(&Large { content }, "follower").expect("it can be encoded");
     let size = whole.len().div_ceil(parts);
--- a/crates/lentillift-gateway/tests/hosts.rs
+++ b/crates/lentillift-gateway/tests/hosts.rs
@@ -39,7 +39,7 @@
 }
 
 fn counted(host: &Shared, line: &str) -> bool {
-    host.board.render(host.now()).contains(line)
+    host.metrics.render(host.now()).contains(line)
 }
 
 /// A search through a host in domain `a` that knows one in domain `b`, each with what it believes; the
@@ -158,7 +158,7 @@
                 value: None,
             }],
         };
-        reader.learn(Some(news), Duration::ZERO);
+        reader.apply_update(Some(news), Duration::ZERO);
         while follower.catalog.borrow().revision() < 9 {
             changed.changed().await.expect("a change");
         }
@@ -181,7 +181,7 @@
         tokio::task::spawn_local(feed::follow(follower.clone()));
         changed.changed().await.expect("a change");
         assert!(!counted(&follower, "service_calls"));
-        reader.steady.set(false);
+        reader.origin_reachable.set(false);
         reader.changed.send_modify(|count| *count += 1);
         while !counted(&follower, "service_calls_total{kind=\"watch\"") {
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/lentillift-gateway/tests/memory.rs
+++ b/crates/lentillift-gateway/tests/memory.rs
@@ -6,7 +6,7 @@
     ($($name:ident: $status:expr => $bytes:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(memory::parse($status), $bytes);
+            assert_eq!(memory::parse_resident_bytes($status), $bytes);
         }
     )*};
 }
@@ -20,5 +20,5 @@
 
 #[test]
 fn this_process_takes_some() {
-    assert!(memory::resident().is_some_and(|bytes| bytes > 100_000));
+    assert!(memory::resident_bytes().is_some_and(|bytes| bytes > 100_000));
 }
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -9,8 +9,8 @@
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_gateway::quarantine::FANOUT;
 use lentillift_gateway::quarantine::SHORT_PERIOD;
+use lentillift_gateway::quarantine::accounts_to_send;
 use lentillift_gateway::quarantine::period;
-use lentillift_gateway::quarantine::worth_telling;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -85,13 +85,13 @@
     }
 
     fn exchange(&mut self, host: usize, now: Time) {
-        let accounts = worth_telling(self.hosts[host].accounts(usize::MAX, now));
+        let accounts = accounts_to_send(self.hosts[host].accounts(usize::MAX, now));
         if accounts.is_empty() {
             return;
         }
         for other in self.others(host, 1) {
             self.send(host, other, accounts.clone(), now);
-            let answer = worth_telling(self.hosts[other].accounts(usize::MAX, now));
+            let answer = accounts_to_send(self.hosts[other].accounts(usize::MAX, now));
             self.send(other, host, answer, now);
         }
     }
