--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -1,17 +1,17 @@
 //! Learning what is published, from the service or from another host, and passing it on.
 
-mod ask;
+mod freshness;
+pub mod serve;
 mod service;
-pub mod tell;
 
 use crate::dialect::Dialect;
+use crate::feed_wire::Frame;
 use crate::frame;
 use crate::frame::Reader;
 use crate::host::Host;
 use crate::metric;
-use crate::notice::Frame;
 use crate::source::Source;
-use ask::FreshnessCheck;
+use freshness::FreshnessCheck;
 use http::Request;
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/freshness.rs
@@ -1,7 +1,7 @@
 //! Asking an origin whether what it told is still all there is.
 
+use crate::feed_wire;
 use crate::frame;
-use crate::notice;
 use bytes::Bytes;
 use futures_util::stream;
 use lentillift_core::id;
@@ -85,7 +85,7 @@
             () = tokio::time::sleep(self.period) => {}
         }
         let number = self.questions.borrow_mut().ask(self.clock.now());
-        match frame::frame(&notice::FreshnessQuery { number }, &self.origin) {
+        match frame::frame(&feed_wire::FreshnessQuery { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
                 warn!(event = "news", %error, "not asked");
--- a/crates/lentillift-gateway/src/feed/tell.rs
+++ b/crates/lentillift-gateway/src/feed/serve.rs
@@ -1,13 +1,13 @@
 //! Telling followers what is published.
 
 use crate::dialect::Dialect;
+use crate::feed_wire::Frame;
+use crate::feed_wire::FreshnessQuery;
 use crate::frame;
 use crate::frame::Reader;
 use crate::host::Host;
 use crate::host::Stage;
 use crate::metric;
-use crate::notice::Frame;
-use crate::notice::FreshnessQuery;
 use crate::source::Source;
 use bytes::Bytes;
 use futures_util::stream;
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -2,7 +2,6 @@
 
 use crate::dialect::Dialect;
 use crate::dialect::RequestInfo;
-use crate::ending::RequestLog;
 use crate::host::Host;
 use crate::host::Stage;
 use crate::listen::accept_with_retry;
@@ -12,6 +11,7 @@
 use crate::part::Content;
 use crate::part::RequestResult;
 use crate::pool::set_socket_options;
+use crate::request_log::RequestLog;
 use crate::run;
 use crate::source::Source;
 use bytes::Bytes;
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -1,9 +1,9 @@
 //! What all tasks of this process share.
 
 use crate::dialect::Dialect;
+use crate::feed_wire::Content;
 use crate::metric;
 use crate::metric::Registry;
-use crate::notice::Content;
 use crate::peer::Peers;
 use crate::pool::Pool;
 use crate::source::Source;
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -210,7 +210,7 @@
     match after.and_then(|after| after.parse().ok()) {
         Some(after) => {
             let questions = Some(request.into_body());
-            Response::new(Either::Right(feed::tell::body(host, after, questions)))
+            Response::new(Either::Right(feed::serve::body(host, after, questions)))
         }
         None => bad_request().map(Either::Left),
     }
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -3,11 +3,11 @@
 use crate::branch::BranchReply;
 use crate::branch::Merged;
 use crate::dialect::Dialect;
+use crate::dispatch;
+use crate::dispatch::Completion;
+use crate::dispatch::Hop;
+use crate::dispatch::InFlight;
 use crate::exchange::ExchangeResult;
-use crate::flight;
-use crate::flight::Completion;
-use crate::flight::Hop;
-use crate::flight::InFlight;
 use crate::host::Host;
 use crate::message::Message;
 use crate::metric;
@@ -186,7 +186,7 @@
             if send.repeat {
                 self.note_repeat(&send);
             }
-            let flight = flight::send_once(
+            let flight = dispatch::send_once(
                 self.host.clone(),
                 self.query.plan().route.clone(),
                 self.leg_services(&send),
@@ -297,7 +297,7 @@
         self.record_completion(&ended, leg, hop, took);
         if let Some(rest) = rest {
             self.in_flight
-                .push(flight::next_answer(self.host.clone(), number, leg, rest).boxed_local());
+                .push(dispatch::next_answer(self.host.clone(), number, leg, rest).boxed_local());
         }
         if let Some(reply) = ended.reply {
             let content = Content::Reply(reply);
@@ -405,7 +405,7 @@
             if let Some(rest) = told.rest {
                 let host = self.host.clone();
                 self.in_flight
-                    .push(flight::next_answer(host, number, leg, rest).boxed_local());
+                    .push(dispatch::next_answer(host, number, leg, rest).boxed_local());
             }
             self.announce_quarantine();
         }
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, unreachable_pub)]
 
-pub mod fragile;
+pub mod crashing;
 
 use http::HeaderMap;
 use http::StatusCode;
--- a/crates/lentillift-gateway/tests/spread.rs
+++ b/crates/lentillift-gateway/tests/spread.rs
@@ -72,7 +72,7 @@
     learn(&reader, 1, document(10));
     learn(&reader, 2, document(routes));
     learn(&reader, 3, document(routes) + "-changed");
-    let mut body = feed::tell::body(reader, 1, None);
+    let mut body = feed::serve::body(reader, 1, None);
     let frame = body.frame().await.expect("a frame").expect("no error");
     let bytes = frame.into_data().expect("data");
     bytes.len() as f64
