--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -1,4 +1,4 @@
-//! Learning what is published, from the service or from another host, and passing it on.
+//! Follows published state, from the configuration service or from another host, and forwards it.
 
 mod freshness;
 pub mod serve;
@@ -32,29 +32,29 @@
 use tracing::info;
 use tracing::warn;
 
-/// Path of these requests; the revision that the follower knows comes after it.
+/// Path prefix of feed requests, followed by the revision that the follower has.
 pub const PATH: &str = "/v3/feed/";
 
-/// How long a process that starts waits for other hosts to turn up before it reads by itself: many
-/// round trips. Callers wait for it too when a whole fleet starts anew.
+/// Time that a starting process waits to discover other hosts before it reads the service itself:
+/// many round trips. When a whole fleet cold-starts, callers wait for it too.
 const JOIN_WAIT: Duration = Duration::from_millis(120);
 
-/// How long a process that knows nothing follows a host that knows nothing either: as long as that
-/// one takes to join and to read everything.
+/// Time that a process without state follows a host that has none either: as long as that host
+/// takes to join and to read everything.
 const BOOTSTRAP_WAIT: Duration = Duration::from_millis(500);
 
-/// Time to take in one message beyond which its size is logged.
+/// Transfer time of one message from which its size is logged.
 const SLOW_MESSAGE: Duration = Duration::from_millis(100);
 
-/// Why an origin is left.
+/// Why this host stops following an origin.
 enum LeaveReason {
-    /// It failed, or its knowledge can't be relied on.
+    /// It failed, or its state can't be relied on.
     Failed(Error),
-    /// The best one should be tried again.
+    /// The highest-ranked origin should be tried again.
     Retry,
 }
 
-/// Learns until the process is over.
+/// Follows published state until the process ends.
 pub async fn follow<D, S>(host: Rc<Host<D, S>>)
 where
     D: Dialect,
@@ -74,12 +74,12 @@
             continue;
         };
         host.origin.replace(Some(origin.clone()));
-        let left = match &origin {
+        let reason = match &origin {
             Origin::Service => service::follow_service(&host, until).await,
             Origin::Host(name) => follow_host(&host, name, until).await,
         };
         host.origin.replace(None);
-        let LeaveReason::Failed(error) = left else {
+        let LeaveReason::Failed(error) = reason else {
             search.left(&origin, search::Left::Again, host.now());
             continue;
         };
@@ -95,14 +95,15 @@
         search.left(&origin, search::Left::Failed, host.now());
         if origin == Origin::Service {
             host.record_outage(Duration::ZERO);
-            // Followers would find out by the age of its knowledge, two thirds of the bound later.
+            // Otherwise followers would detect this only by the age of its state, two thirds of the
+            // bound later.
             host.origin_reachable.set(false);
             host.changed.send_modify(|count| *count += 1);
         }
     }
 }
 
-/// The kind of an origin, in metrics.
+/// Metric label of an origin's kind.
 fn origin_kind(origin: &Origin) -> &'static str {
     match origin {
         Origin::Service => "service",
@@ -115,7 +116,7 @@
     D: Dialect,
     S: Source,
 {
-    let me = Candidate {
+    let own = Candidate {
         host: host.name.clone(),
         domain: host.domain.clone(),
     };
@@ -127,16 +128,16 @@
             domain: m.domain.clone(),
         })
         .collect();
-    // Without relays the first host of a failure domain tells all others of it.
+    // Without relays, the first host of a failure domain serves all other hosts of it.
     let fan = if host.is_on(Mechanism::Relays) {
         follow::FAN
     } else {
         usize::MAX
     };
-    follow::order(&me, &others, fan, round)
+    follow::order(&own, &others, fan, round)
 }
 
-/// Whether the origin is to be left for a better one.
+/// Whether to leave the origin: at the time `until`, or else once another one ranks first.
 fn should_leave<D, S>(host: &Host<D, S>, origin: &Origin, until: Option<Time>) -> bool
 where
     D: Dialect,
@@ -148,25 +149,25 @@
     }
 }
 
-/// Follows another host.
+/// Follows another host until its feed fails or a better origin is available.
 async fn follow_host<D, S>(host: &Host<D, S>, name: &id::Host, until: Option<Time>) -> LeaveReason
 where
     D: Dialect,
     S: Source,
 {
     let origin = Origin::Host(name.clone());
-    let began = host.now();
-    let (inquiry, questions) = FreshnessCheck::start(host.clock, name, host.freshness.heartbeat());
-    let mut reader = match open_feed(host, name, questions).await {
+    let started = host.now();
+    let (check, queries) = FreshnessCheck::start(host.clock, name, host.freshness.heartbeat());
+    let mut reader = match open_feed(host, name, queries).await {
         Ok(reader) => reader,
         Err(error) => return LeaveReason::Failed(error),
     };
-    let mut allowed = None;
+    let mut max_age = None;
     loop {
         if should_leave(host, &origin, until) {
             return LeaveReason::Retry;
         }
-        let frame = match next_frame(host, &mut reader, allowed).await {
+        let frame = match next_frame(host, &mut reader, max_age).await {
             Ok(frame) => frame,
             Err(error) => return LeaveReason::Failed(error),
         };
@@ -174,50 +175,51 @@
         if frame.update.is_some() {
             record_size(host, name, size);
         }
-        let way = frame.path.join(" ");
-        if let Err(error) = apply_frame(host, name, frame, &inquiry) {
+        let path = frame.path.join(" ");
+        if let Err(error) = apply_frame(host, name, frame, &check) {
             return LeaveReason::Failed(error);
         }
-        if allowed.is_none() {
+        if max_age.is_none() {
             let age_ms = host.age().map(|age| age.as_millis() as u64);
-            info!(event = "origin", ?origin, way, age_ms, "followed");
+            info!(event = "origin", ?origin, way = path, age_ms, "followed");
         }
-        let patient = host.age().is_none() && host.now() < began + BOOTSTRAP_WAIT;
-        // That a message was long under way is not the origin's fault.
-        let most = host.freshness.stale() + size.took;
-        if !patient && host.age().is_none_or(|age| age > most) {
+        let is_bootstrapping = host.age().is_none() && host.now() < started + BOOTSTRAP_WAIT;
+        // A long transfer is not the origin's fault.
+        let age_limit = host.freshness.stale() + size.took;
+        if !is_bootstrapping && host.age().is_none_or(|age| age > age_limit) {
             return LeaveReason::Failed(stale_error(host, name));
         }
-        allowed = Some(most);
+        max_age = Some(age_limit);
     }
 }
 
-/// The next message of an origin, unless it falls silent, or what is believed gets older than `allowed` before
-/// the message begins; the first one may come however old that is.
+/// Reads the next message of an origin. Fails if the origin falls silent, or if this host's state
+/// becomes older than `max_age` before the message begins; the first message, without `max_age`,
+/// may come however old the state is.
 async fn next_frame<D, S>(
     host: &Host<D, S>,
     reader: &mut Reader<Frame>,
-    allowed: Option<Duration>,
+    max_age: Option<Duration>,
 ) -> Result<Frame>
 where
     D: Dialect,
     S: Source,
 {
-    let patience = match allowed {
+    let silence = match max_age {
         Some(_) => host.freshness.frame(),
         None => host.freshness.open(),
     };
-    if let (Some(allowed), Some(age)) = (allowed, host.age()) {
-        let left = allowed.saturating_sub(age);
-        match tokio::time::timeout(left, reader.next(patience)).await {
+    if let (Some(max_age), Some(age)) = (max_age, host.age()) {
+        let remaining = max_age.saturating_sub(age);
+        match tokio::time::timeout(remaining, reader.next(silence)).await {
             Ok(frame) => return frame,
             Err(_) if !reader.is_mid_message() => return Err(stale_error(host, reader.peer())),
             Err(_) => {}
         }
     }
-    let frame = tokio::time::timeout(host.freshness.bound, reader.next(patience)).await;
-    let slow = "a message took longer than the bound";
-    frame.unwrap_or_else(|_| Err(Error::new(Step::Read, reader.peer(), slow)))
+    let frame = tokio::time::timeout(host.freshness.bound, reader.next(silence)).await;
+    let cause = "message took longer than the freshness bound";
+    frame.unwrap_or_else(|_| Err(Error::new(Step::Read, reader.peer(), cause)))
 }
 
 fn stale_error<D, S>(host: &Host<D, S>, origin: &str) -> Error
@@ -226,10 +228,14 @@
     S: Source,
 {
     let age = host.age().unwrap_or_default();
-    Error::new(Step::Check, origin, format!("knowledge is {age:?} old"))
+    Error::new(
+        Step::Check,
+        origin,
+        format!("published state is {age:?} old"),
+    )
 }
 
-/// Counts what was told, and logs what took long: links that are full show here.
+/// Counts the bytes of a received update, and logs a slow transfer: saturated links show here.
 fn record_size<D, S>(host: &Host<D, S>, name: &id::Host, size: frame::MessageSize)
 where
     D: Dialect,
@@ -243,52 +249,52 @@
     }
 }
 
-/// Takes in what another host tells, unless its knowledge can't be relied on.
+/// Applies a message of another host, unless its state can't be relied on.
 fn apply_frame<D, S>(
     host: &Host<D, S>,
     name: &id::Host,
     frame: Frame,
-    inquiry: &FreshnessCheck,
+    check: &FreshnessCheck,
 ) -> Result<()>
 where
     D: Dialect,
     S: Source,
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
-    let told: Vec<id::Host> = frame.path.iter().map(|host| host.as_str().into()).collect();
-    let way = Way::through(&told, &host.name).map_err(|refused| fail(&refused))?;
-    let heard = inquiry.record_answer(frame.answered_query);
-    heard.map_err(|unasked| fail(&unasked))?;
-    let is_proved = host.is_on(Mechanism::Proofs);
+    let sender_path: Vec<id::Host> = frame.path.iter().map(|host| host.as_str().into()).collect();
+    let path = Way::through(&sender_path, &host.name).map_err(|refused| fail(&refused))?;
+    let recorded = check.record_answer(frame.answered_query);
+    recorded.map_err(|unknown| fail(&unknown))?;
+    let is_checked = host.is_on(Mechanism::Proofs);
     let age = |ms: u32| {
-        let told = Duration::from_millis(ms.into());
-        match is_proved {
-            true => inquiry.age(host.now(), told),
-            false => told,
+        let sent_age = Duration::from_millis(ms.into());
+        match is_checked {
+            true => check.age(host.now(), sent_age),
+            false => sent_age,
         }
     };
     if let Some(away_ms) = frame.outage_age_ms {
         host.record_outage(age(away_ms));
     }
     if let Some(age_ms) = frame.age_ms {
-        let news = frame
+        let update = frame
             .update
             .map(|content| content.decode(name))
             .transpose()?;
-        host.apply_update(news, age(age_ms));
+        host.apply_update(update, age(age_ms));
     }
     if !frame.origin_reachable && host.age().is_some() {
-        return Err(fail(&"its origin is lost"));
+        return Err(fail(&"its own origin is lost"));
     }
     host.origin_reachable.set(true);
-    host.set_path(way);
+    host.set_path(path);
     Ok(())
 }
 
 async fn open_feed<D, S>(
     host: &Host<D, S>,
     name: &id::Host,
-    questions: frame::Body,
+    queries: frame::Body,
 ) -> Result<Reader<Frame>>
 where
     D: Dialect,
@@ -296,16 +302,16 @@
 {
     let address = host.swim.borrow().table().get(name).map(|m| m.address);
     let fail = |cause: &str| Error::new(Step::Connect, name, cause);
-    let address = address.ok_or_else(|| fail("host is not known"))?;
+    let address = address.ok_or_else(|| fail("host is unknown"))?;
     let after = host.catalog.borrow().revision();
-    let mut request = Request::new(questions);
+    let mut request = Request::new(queries);
     *request.method_mut() = http::Method::POST;
     let uri = format!("http://host{PATH}{after}");
-    *request.uri_mut() = uri.parse().map_err(|_| fail("path can't be sent"))?;
-    let sent =
+    *request.uri_mut() = uri.parse().map_err(|_| fail("invalid path"))?;
+    let response =
         tokio::time::timeout(host.freshness.open(), host.peers.stream(address, request)).await;
-    let response = sent.map_err(|_| {
-        // A connection can be silent for good while a new one works.
+    let response = response.map_err(|_| {
+        // A connection can stay silent forever while a new one works.
         host.peers.drop_connection(address);
         fail("timed out")
     })??;
--- a/crates/lentillift-gateway/src/feed/freshness.rs
+++ b/crates/lentillift-gateway/src/feed/freshness.rs
@@ -1,4 +1,4 @@
-//! Asking an origin whether what it told is still all there is.
+//! Queries to an origin whether the state that it sent is still complete.
 
 use crate::feed_wire;
 use crate::frame;
@@ -16,59 +16,60 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-/// Questions to one origin, which end when this is dropped.
+/// Freshness queries to one origin. They end when this is dropped.
 #[derive(Debug)]
 pub(super) struct FreshnessCheck {
     questions: Rc<RefCell<Questions>>,
-    /// Tells that a question is due at once.
+    /// Signals that a query is due immediately.
     query_due: watch::Sender<()>,
 }
 
 impl FreshnessCheck {
-    /// Asks the first question now, and then one in each `period`, in the body that is returned.
+    /// Starts the queries. The request itself counts as the first query; further ones follow in the
+    /// returned body, at least one each `period`.
     pub(super) fn start(clock: Clock, origin: &id::Host, period: Duration) -> (Self, frame::Body) {
         let questions = Rc::new(RefCell::new(Questions::start(clock.now())));
-        let (due, is_due) = watch::channel(());
-        let asking = QueryStream {
+        let (query_due, is_due) = watch::channel(());
+        let stream = QueryStream {
             clock,
             origin: origin.clone(),
             period,
             questions: questions.clone(),
             is_due,
         };
-        let body = stream::unfold(asking, |mut asking| async move {
-            let bytes = asking.next().await?;
-            Some((bytes, asking))
+        let body = stream::unfold(stream, |mut stream| async move {
+            let bytes = stream.next().await?;
+            Some((bytes, stream))
         });
         (
             Self {
                 questions,
-                query_due: due,
+                query_due,
             },
             frame::body(body),
         )
     }
 
-    /// Takes in a message that was written after question `number` had arrived.
+    /// Records a message that was written after query `number` had arrived.
     ///
     /// # Errors
     ///
-    /// When that question is not open.
+    /// When that query is not open.
     pub(super) fn record_answer(&self, number: Number) -> Result<(), Unasked> {
-        let heard = self.questions.borrow_mut().hear(number)?;
-        if heard == Heard::Ask {
+        let action = self.questions.borrow_mut().hear(number)?;
+        if action == Heard::Ask {
             self.query_due.send_replace(());
         }
         Ok(())
     }
 
-    /// Age of knowledge that was `told` old when the last message was written.
-    pub(super) fn age(&self, now: Duration, told: Duration) -> Duration {
-        self.questions.borrow().age(now, told)
+    /// Current age of state that had age `sent_age` when the last message was written.
+    pub(super) fn age(&self, now: Duration, sent_age: Duration) -> Duration {
+        self.questions.borrow().age(now, sent_age)
     }
 }
 
-/// The side that is sent.
+/// Source of the queries that are sent in the request's body.
 struct QueryStream {
     clock: Clock,
     origin: id::Host,
@@ -78,7 +79,8 @@
 }
 
 impl QueryStream {
-    /// The next question, when it is due; none once nobody waits for answers.
+    /// Waits until the next query is due and encodes it; none once the [`FreshnessCheck`] is
+    /// dropped.
     async fn next(&mut self) -> Option<Bytes> {
         tokio::select! {
             due = self.is_due.changed() => due.ok()?,
@@ -88,7 +90,7 @@
         match frame::frame(&feed_wire::FreshnessQuery { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                warn!(event = "news", %error, "not asked");
+                warn!(event = "news", %error, "freshness query not sent");
                 None
             }
         }
--- a/crates/lentillift-gateway/src/feed/serve.rs
+++ b/crates/lentillift-gateway/src/feed/serve.rs
@@ -1,4 +1,4 @@
-//! Telling followers what is published.
+//! Serves published state to followers.
 
 use crate::dialect::Dialect;
 use crate::feed_wire::Frame;
@@ -21,12 +21,12 @@
 use tracing::debug;
 use tracing::warn;
 
-/// Tells a follower that knows everything up to `after` what changes, and answers the `questions` in the body
-/// of its request.
+/// Returns a response body that streams to a follower with revision `after` each change of the
+/// published state, and answers its freshness `queries` from the body of its request.
 pub fn body<D, S>(
     host: Rc<Host<D, S>>,
     after: id::Revision,
-    questions: Option<Incoming>,
+    queries: Option<Incoming>,
 ) -> frame::Body
 where
     D: Dialect,
@@ -40,7 +40,7 @@
         after,
         changed,
         stage,
-        questions: questions.map(|body| Reader::new("follower", body)),
+        queries: queries.map(|body| Reader::new("follower", body)),
         last_query: 0,
         is_first: true,
     };
@@ -50,14 +50,14 @@
     }))
 }
 
-/// What one follower is told; counted as a follower for as long as it lasts.
+/// Feed of one follower, which counts as a follower until this is dropped.
 struct Feed<D, S> {
     host: Rc<Host<D, S>>,
     after: id::Revision,
     changed: watch::Receiver<u64>,
     stage: watch::Receiver<Stage>,
-    questions: Option<Reader<FreshnessQuery>>,
-    /// The last question that has arrived.
+    queries: Option<Reader<FreshnessQuery>>,
+    /// Number of the last query that has arrived.
     last_query: Number,
     is_first: bool,
 }
@@ -74,18 +74,18 @@
     D: Dialect,
     S: Source,
 {
-    /// The next frame, at once, after a change, or when it is asked for; none when this process ends or the
-    /// follower asks nothing any more.
+    /// Returns the next frame: the first at once, later ones after a change or a query; none when
+    /// this process shuts down or the follower stops sending queries.
     async fn next(&mut self) -> Option<Bytes> {
         if !std::mem::take(&mut self.is_first) {
             let silence = self.host.freshness.bound;
             tokio::select! {
                 _ = self.changed.changed() => {}
                 _ = self.stage.wait_for(|stage| *stage >= Stage::Closing) => return None,
-                question = next_query(&mut self.questions, silence) => match question {
-                    Ok(question) => self.last_query = question.number,
+                query = next_query(&mut self.queries, silence) => match query {
+                    Ok(query) => self.last_query = query.number,
                     Err(error) => {
-                        debug!(event = "news", %error, "a follower has left");
+                        debug!(event = "news", %error, "follower has disconnected");
                         return None;
                     }
                 }
@@ -94,24 +94,24 @@
         match self.encode_frame() {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                warn!(event = "news", %error, "not told");
+                warn!(event = "news", %error, "update not sent to a follower");
                 None
             }
         }
     }
 
-    /// What there is to tell now.
+    /// Encodes a frame with the current state and the items that the follower lacks.
     fn encode_frame(&mut self) -> Result<Bytes> {
         let host = &self.host;
-        let news = host.update_after(self.after)?;
-        let way = host.path.borrow();
+        let update = host.update_after(self.after)?;
+        let path = host.path.borrow();
         let message = Frame {
             answered_query: self.last_query,
             age_ms: host.age().map(millis_rounded_up),
             origin_reachable: host.origin_reachable.get(),
-            path: way.hosts().iter().map(|host| host.to_string()).collect(),
+            path: path.hosts().iter().map(|host| host.to_string()).collect(),
             outage_age_ms: host.time_since_outage().map(millis_rounded_up),
-            update: news,
+            update,
         };
         let bytes = frame::frame(&message, "follower")?;
         if message.update.is_some() {
@@ -123,18 +123,18 @@
     }
 }
 
-/// The next question; none ever comes where nobody can ask.
+/// Reads the next query; waits forever if the request has no body.
 async fn next_query(
-    questions: &mut Option<Reader<FreshnessQuery>>,
+    queries: &mut Option<Reader<FreshnessQuery>>,
     silence: Duration,
 ) -> Result<FreshnessQuery> {
-    match questions {
-        Some(questions) => questions.next(silence).await,
+    match queries {
+        Some(queries) => queries.next(silence).await,
         None => std::future::pending().await,
     }
 }
 
-/// An age in milliseconds, never less than it is.
+/// An age in milliseconds, rounded up so that state never appears fresher than it is.
 fn millis_rounded_up(age: Duration) -> u32 {
     u32::try_from(age.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -1,4 +1,4 @@
-//! Reading the service that publishes.
+//! Reads published state from the configuration service.
 
 use super::LeaveReason;
 use super::should_leave;
@@ -20,13 +20,13 @@
 use tracing::info;
 use tracing::warn;
 
-/// Time that opening a connection and a busy processor may add to a call.
+/// Allowance for opening a connection and for a busy processor during a call.
 const STALL_ALLOWANCE: Duration = Duration::from_secs(1);
 
-/// Longest pause of the service while everything is read.
+/// Longest silence of the service during a full read.
 const READ_SILENCE: Duration = Duration::from_secs(2);
 
-/// Reads the service until it fails, or another origin is to be tried.
+/// Follows the service until it fails or another origin is to be tried.
 pub(super) async fn follow_service<D, S>(host: &Host<D, S>, until: Option<Time>) -> LeaveReason
 where
     D: Dialect,
@@ -37,29 +37,31 @@
         if should_leave(host, &Origin::Service, until) {
             return LeaveReason::Retry;
         }
-        let asked = host.now();
+        let started = host.now();
         let (news, age) = match poll(host).await {
-            Ok(told) => told,
-            Err(error) if host.now().saturating_sub(asked) > max_call_time(host) => {
+            Ok(polled) => polled,
+            Err(error) if host.now().saturating_sub(started) > max_call_time(host) => {
                 warn!(event = "origin", origin = "service", %error, "stood still during a call");
                 return LeaveReason::Retry;
             }
             Err(error) => return LeaveReason::Failed(error),
         };
-        let quiet = matches!(&news, News::Changes { items, .. } if items.is_empty());
+        let is_unchanged = matches!(&news, News::Changes { items, .. } if items.is_empty());
         host.apply_update(Some(news), age);
         host.origin_reachable.set(true);
         host.set_path(Way::reader(&host.name));
-        if !quiet {
+        if !is_unchanged {
             tokio::time::sleep(host.freshness.pause()).await;
         }
     }
 }
 
-/// Time after which a call to the service that fails has timed out by itself, while this process ran.
+/// Time within which a failing call to the service has timed out, provided this process was
+/// running.
 ///
-/// One that fails later was held up here, as while the host stood still, which says nothing of the service. Taken
-/// for its failure, it would have callers served by old knowledge as if nobody could know more.
+/// A call that fails later was delayed on this side, for example because the host was frozen, which
+/// says nothing about the service. Counted as a failure of the service, it would make this host
+/// serve callers from old state as if no newer one were available.
 fn max_call_time<D, S>(host: &Host<D, S>) -> Duration
 where
     D: Dialect,
@@ -68,7 +70,7 @@
     host.freshness.watch() + host.freshness.slack() + STALL_ALLOWANCE
 }
 
-/// What there is to know beyond what is known here, and how old it is.
+/// Reads the updates since the local revision, and their age.
 async fn poll<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
 where
     D: Dialect,
@@ -78,16 +80,16 @@
     if after == 0 {
         return read(host).await;
     }
-    let asked = host.now();
+    let started = host.now();
     let wait = host.freshness.next_watch(host.age().unwrap_or_default());
     let WatchResult::Changes(news) = watch(host, after, wait).await? else {
         return read(host).await;
     };
-    let passed = host.now().saturating_sub(asked);
+    let elapsed = host.now().saturating_sub(started);
     let age = match &news {
-        News::Changes { items, .. } if items.is_empty() => proof::age_after_watch(passed, wait),
-        // When the change came is not known.
-        _ => passed,
+        News::Changes { items, .. } if items.is_empty() => proof::age_after_watch(elapsed, wait),
+        // The time of the change within the watch is unknown.
+        _ => elapsed,
     };
     Ok((news, age))
 }
@@ -99,29 +101,29 @@
 {
     let watch = host.source.watch(after, wait, host.freshness.slack());
     let watched = with_timeout(wait + host.freshness.bound, watch).await;
-    let board = &host.metrics;
-    board.count_call(metric::SERVICE_CALLS, "watch", watched.is_ok());
+    let registry = &host.metrics;
+    registry.count_call(metric::SERVICE_CALLS, "watch", watched.is_ok());
     watched
 }
 
-/// Everything that is published, and how old it is.
+/// Reads all published state; returns it with its age.
 async fn read<D, S>(host: &Host<D, S>) -> Result<(News, Duration)>
 where
     D: Dialect,
     S: Source,
 {
-    let asked = host.now();
+    let started = host.now();
     let read = with_timeout(host.freshness.bound, host.source.read(READ_SILENCE)).await;
     host.metrics
         .count_call(metric::SERVICE_CALLS, "read", read.is_ok());
-    Ok((read?, host.now().saturating_sub(asked)))
+    Ok((read?, host.now().saturating_sub(started)))
 }
 
-/// What a call to the service brings, unless its answer takes longer than `most` altogether.
-async fn with_timeout<T, C>(most: Duration, call: C) -> Result<T>
+/// Awaits a call to the service; fails if it takes longer than `limit` in total.
+async fn with_timeout<T, C>(limit: Duration, call: C) -> Result<T>
 where
     C: Future<Output = Result<T>>,
 {
-    let brought = tokio::time::timeout(most, call).await;
-    brought.unwrap_or_else(|_| Err(Error::new(Step::Read, "service", "an answer took too long")))
+    let response = tokio::time::timeout(limit, call).await;
+    response.unwrap_or_else(|_| Err(Error::new(Step::Read, "service", "response took too long")))
 }
--- a/crates/lentillift-gateway/src/feed_wire.rs
+++ b/crates/lentillift-gateway/src/feed_wire.rs
@@ -1,4 +1,4 @@
-//! What a follower asks and is told, as it stands on the wire.
+//! Wire format of the feed: freshness queries of followers and messages to them.
 
 use crate::frame;
 use crate::pack::Packed;
@@ -8,30 +8,32 @@
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::News;
 
-/// A question of a follower whether it knows all that its origin does, as it stands on the wire.
+/// A follower's query whether its state is still complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct FreshnessQuery {
     pub(crate) number: u32,
 }
 
-/// One message to a follower, as it stands on the wire.
+/// One message of an origin to a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Frame {
-    /// The last question that had arrived when this was written; 0 before the first.
+    /// Number of the last query that had arrived when this message was written; 0 before the first.
     pub(crate) answered_query: u32,
-    /// Age of the sender's knowledge when this was written; none if it has none.
+    /// Age of the sender's state when this message was written, in milliseconds; none if it has no
+    /// state.
     pub(crate) age_ms: Option<u32>,
-    /// Whether the sender reaches its origin, as far as it knows.
+    /// Whether the sender reaches its own origin, as far as it knows.
     pub(crate) origin_reachable: bool,
-    /// Hosts over which the sender's knowledge came, the one that read the service first and the sender
-    /// last; empty if it has none.
+    /// Hosts through which the sender's state came, from the one that read it from the service to
+    /// the sender; empty if it has no state.
     pub(crate) path: Vec<String>,
-    /// Time since the service was last known to be away; none if it never was.
+    /// Time since the configuration service was last known to be unavailable, in milliseconds; none
+    /// if it never was.
     pub(crate) outage_age_ms: Option<u32>,
     pub(crate) update: Option<Content>,
 }
 
-/// A [`Notice`], encoded; see [`Packed`].
+/// An encoded [`Update`], compressed or not; see [`Packed`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Content {
     Plain(Vec<u8>),
@@ -39,13 +41,13 @@
 }
 
 impl Content {
-    /// `news` on its way to `peer`, packed or as it is.
+    /// Encodes `update` for `peer`, and compresses it if `is_packed`.
     ///
     /// # Errors
     ///
     /// When it can't be encoded.
-    pub(crate) fn encode(news: News, is_packed: bool, peer: &str) -> Result<Self> {
-        let encoded = frame::encode(&Update::from(news), peer)?.to_vec();
+    pub(crate) fn encode(update: News, is_packed: bool, peer: &str) -> Result<Self> {
+        let encoded = frame::encode(&Update::from(update), peer)?.to_vec();
         let packed = match is_packed {
             true => Packed::pack(encoded),
             false => Packed::Plain(encoded),
@@ -53,15 +55,15 @@
         Ok(packed.into())
     }
 
-    /// What `peer` told.
+    /// Decodes an update received from `peer`.
     ///
     /// # Errors
     ///
     /// When it is malformed.
     pub(crate) fn decode(self, peer: &str) -> Result<News> {
         let encoded = Packed::from(self).unpack(peer)?;
-        let notice: Update = frame::decode(&encoded, peer)?;
-        Ok(notice.into())
+        let update: Update = frame::decode(&encoded, peer)?;
+        Ok(update.into())
     }
 }
 
@@ -83,14 +85,14 @@
     }
 }
 
-/// See [`News`].
+/// Wire form of [`News`]: the revision and the items.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Update {
     All(u64, Vec<Entry>),
     Changes(u64, Vec<Entry>),
 }
 
-/// See [`Item`].
+/// Wire form of [`Item`]: its key, revision and value; no value if it was deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Entry(String, u64, Option<Vec<u8>>);
 
@@ -111,9 +113,9 @@
 }
 
 impl From<News> for Update {
-    fn from(news: News) -> Self {
+    fn from(update: News) -> Self {
         let entries = |items: Vec<Item>| items.into_iter().map(Entry::from).collect();
-        match news {
+        match update {
             News::All { revision, items } => Self::All(revision, entries(items)),
             News::Changes { revision, items } => Self::Changes(revision, entries(items)),
         }
@@ -121,9 +123,9 @@
 }
 
 impl From<Update> for News {
-    fn from(notice: Update) -> Self {
+    fn from(update: Update) -> Self {
         let items = |entries: Vec<Entry>| entries.into_iter().map(Item::from).collect();
-        match notice {
+        match update {
             Update::All(revision, entries) => Self::All {
                 revision,
                 items: items(entries),
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! What all tasks of this process share.
+//! State that all tasks of this process share.
 
 use crate::dialect::Dialect;
 use crate::feed_wire::Content;
@@ -34,90 +34,91 @@
 use tracing::info;
 use tracing::warn;
 
-/// How far this process has come.
+/// Lifecycle stage of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It has no configuration yet, or takes callers.
+    /// Normal operation; before the first configuration, callers are not served yet.
     Serving,
-    /// No more callers should be sent here.
+    /// Shutting down: readiness fails, so that the balancer stops sending callers.
     Leaving,
-    /// Connections without a request are closed.
+    /// Idle caller connections are closed.
     Closing,
-    /// What is left is cut off.
+    /// Remaining connections are dropped.
     Over,
 }
 
-/// What followers that knew everything up to a revision were told.
+/// Encoded update for followers that have revision `after`.
 #[derive(Debug, Clone)]
 pub(crate) struct EncodedUpdate {
     after: id::Revision,
     content: Content,
 }
 
-/// Where news came from, for the log.
+/// Origin and age of an update, for the log.
 struct Provenance {
     origin: Option<Origin>,
-    /// How old it was.
+    /// Age of the update.
     age: Duration,
-    /// How old was what had been believed until then.
+    /// Age of the local state just before the update; none before the first one.
     previous_age: Option<Duration>,
 }
 
-/// What all tasks of this process share.
+/// State that all tasks of this process share.
 ///
-/// Cells are borrowed only between two awaits.
+/// Cells are never borrowed across an await.
 pub struct Host<D, S> {
     /// This host's name.
     pub name: id::Host,
     /// This host's failure domain.
     pub domain: id::Domain,
-    /// The clock that all decisions go by.
+    /// Clock of all decisions.
     pub clock: Clock,
-    /// How callers and backend servers spell things.
+    /// Protocol headers of callers and backend servers.
     pub dialect: D,
-    /// Where the configuration is published.
+    /// Client of the configuration service.
     pub source: S,
     /// Connections to backend servers.
     pub pool: Pool,
     /// Connections to other hosts.
     pub peers: Peers,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Registry,
-    /// What requests share.
+    /// Decision state that requests share.
     pub core: RefCell<Core>,
-    /// What is believed of the published state.
+    /// Local copy of the published state.
     pub catalog: RefCell<Catalog>,
-    /// Membership.
+    /// Membership of the fleet.
     pub swim: RefCell<Swim<StdRng>>,
-    /// When what is believed was last known to be all there is; none before the first news.
+    /// When the local state was last verified to be complete; none before the first update.
     pub verified_at: Cell<Option<Time>>,
-    /// When the service was last known to be away; none if it never was.
+    /// When the configuration service was last known to be unavailable; none if it never was.
     pub outage_at: Cell<Option<Time>>,
-    /// How soon news has to be here.
+    /// Bounds on the age of the published state.
     pub freshness: follow::Options,
-    /// Whether the service last answered this host, or it has another origin since.
+    /// False after the configuration service failed for this host, until it follows another origin
+    /// or the service responds again.
     pub origin_reachable: Cell<bool>,
-    /// From whom what is published is learnt at present; none while an origin is looked for.
+    /// Origin that is followed at present; none while one is being selected.
     pub origin: RefCell<Option<Origin>>,
-    /// Hosts over which what is believed came. Kept while another origin is looked for, so that
-    /// followers of this host are not taken for one.
+    /// Hosts through which the local state came. Kept while another origin is selected, so that
+    /// followers of this host are not selected as its origin.
     pub path: RefCell<Way>,
-    /// The hosts that bounds of the whole fleet are shared with.
+    /// Hosts among which fleet-wide limits are divided.
     pub roster: RefCell<Roster>,
-    /// Tells that other hosts should hear something of requests under which servers ended.
+    /// Signals that quarantine accounts have changed and should be sent to other hosts.
     pub quarantine_changed: Notify,
-    /// How long questions of other hosts are held up on their way.
+    /// Estimated delays of requests from other hosts.
     pub delays: RefCell<Delays>,
-    /// Connections of callers.
+    /// Number of open caller connections.
     pub caller_connections: Cell<usize>,
-    /// What followers were told last: most know the same and are told the same.
-    // INVARIANT: None once what is believed has changed.
+    /// Last encoded update; most followers have the same revision, so it can be reused.
+    // INVARIANT: None once the local state has changed.
     pub(crate) last_update: RefCell<Option<EncodedUpdate>>,
-    /// Hosts that learn from this one what is published.
+    /// Number of hosts that follow this one.
     pub followers: Cell<usize>,
-    /// Rises with every change of what is believed.
+    /// Counter that increases with each change that followers or waiting requests need to see.
     pub changed: watch::Sender<u64>,
-    /// How far this process has come.
+    /// Lifecycle stage of this process.
     pub stage: watch::Sender<Stage>,
 }
 
@@ -132,30 +133,31 @@
     D: Dialect,
     S: Source,
 {
-    /// The time.
+    /// Time by the host's clock.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Whether `mechanism` works.
+    /// Whether `mechanism` is switched on.
     pub fn is_on(&self, mechanism: Mechanism) -> bool {
         self.core.borrow().options.switches.is_on(mechanism)
     }
 
-    /// Takes in news that held `age` ago; followers are told of it at once.
-    pub fn apply_update(&self, news: Option<News>, age: Duration) {
+    /// Applies an update whose state was verified `age` ago, and notifies followers at once.
+    /// Without an update, only the verification time advances.
+    pub fn apply_update(&self, update: Option<News>, age: Duration) {
         let now = self.now();
         let provenance = Provenance {
             origin: self.origin.borrow().clone(),
             age,
             previous_age: self.age(),
         };
-        if let Some(news) = news {
+        if let Some(update) = update {
             let source = &self.source;
             let grace = self.lapse_grace();
             let mut catalog = self.catalog.borrow_mut();
             let before = catalog.revision();
-            let changes = catalog.learn(now, news, grace, |item| source.decode(item));
+            let changes = catalog.learn(now, update, grace, |item| source.decode(item));
             let revision = catalog.revision();
             drop(catalog);
             let log = |change| log_change(change, revision, &provenance);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Until when servers of which news has just come may still be asked.
+    /// Times until which servers that the update reports as leaving or gone may still be used.
     fn lapse_grace(&self) -> Grace {
         let before = Before {
             proved: self.verified_at.get(),
@@ -184,34 +186,36 @@
         Grace::within(self.freshness.bound, self.now(), before)
     }
 
-    /// Notes that the service was away until `age` ago, as this host found or was told.
+    /// Records that the configuration service was unavailable until `age` ago, as seen by this host
+    /// or reported by its origin.
     pub fn record_outage(&self, age: Duration) {
         let at = Some(self.now().saturating_sub(age));
         self.outage_at.set(self.outage_at.get().max(at));
     }
 
-    /// Time since the service was last known to be away; none if it never was.
+    /// Time since the configuration service was last known to be unavailable; none if it never was.
     pub fn time_since_outage(&self) -> Option<Duration> {
         let at = self.outage_at.get()?;
         Some(self.now().saturating_sub(at))
     }
 
-    /// Notes over which hosts what is believed comes, and tells followers at once if that changes: one of
-    /// them may find itself on it.
-    pub fn set_path(&self, way: Way) {
-        if *self.path.borrow() != way {
-            self.path.replace(way);
+    /// Records the path of the local state, and notifies followers at once if it changes: a
+    /// follower may find itself on it, which is a cycle.
+    pub fn set_path(&self, path: Way) {
+        if *self.path.borrow() != path {
+            self.path.replace(path);
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
-    /// Time since what is believed was known to be all there is.
+    /// Age of the local state: time since it was last verified to be complete; none before the
+    /// first update.
     pub fn age(&self) -> Option<Duration> {
-        let proved = self.verified_at.get()?;
-        Some(self.now().saturating_sub(proved))
+        let verified_at = self.verified_at.get()?;
+        Some(self.now().saturating_sub(verified_at))
     }
 
-    /// Whether a request is served by what is believed now, or waits for news.
+    /// Whether a request is served from the local state now, or waits for an update.
     fn admit(&self) -> Admission {
         match self.age().filter(|_| self.is_on(Mechanism::CatchUp)) {
             Some(age) => self.freshness.admit(age, self.time_since_outage()),
@@ -219,19 +223,19 @@
         }
     }
 
-    /// Waits, but no longer than `most`, until what is believed may be served by.
-    pub async fn catch_up(&self, most: Duration) {
+    /// Waits, for at most `limit`, until the local state is fresh enough to serve from.
+    pub async fn catch_up(&self, limit: Duration) {
         let Admission::Await(wait) = self.admit() else {
             return;
         };
         let mut changed = self.changed.subscribe();
         let caught_up = async {
             while self.admit() != Admission::Serve {
-                // The sender is this host's own and lasts as long.
+                // The sender belongs to this host, so it is not dropped while this waits.
                 let _ = changed.changed().await;
             }
         };
-        let waited = tokio::time::timeout(wait.min(most), caught_up).await;
+        let waited = tokio::time::timeout(wait.min(limit), caught_up).await;
         let kind = match waited {
             Ok(()) => "news came",
             Err(_) => "no news",
@@ -239,21 +243,22 @@
         self.metrics.count(metric::CAUGHT_UP, kind);
     }
 
-    /// What a follower that knows everything up to `after` is told; none if it misses nothing.
+    /// Encodes the update for a follower that has revision `after`; none if the follower is up to
+    /// date.
     ///
     /// # Errors
     ///
     /// When it can't be encoded.
     pub(crate) fn update_after(&self, after: id::Revision) -> Result<Option<Content>> {
-        if let Some(told) = self.last_update.borrow().as_ref()
-            && told.after == after
+        if let Some(last) = self.last_update.borrow().as_ref()
+            && last.after == after
         {
-            return Ok(Some(told.content.clone()));
+            return Ok(Some(last.content.clone()));
         }
-        let Some(news) = self.catalog.borrow().news(after) else {
+        let Some(update) = self.catalog.borrow().news(after) else {
             return Ok(None);
         };
-        let content = Content::encode(news, self.is_on(Mechanism::Packing), "follower")?;
+        let content = Content::encode(update, self.is_on(Mechanism::Packing), "follower")?;
         self.last_update.replace(Some(EncodedUpdate {
             after,
             content: content.clone(),
@@ -261,7 +266,7 @@
         Ok(Some(content))
     }
 
-    /// Serves new requests by what is believed now.
+    /// Makes the local state the view that new requests use, and notifies followers.
     pub fn publish_view(&self) {
         self.last_update.replace(None);
         let view = self.catalog.borrow().view();
@@ -271,12 +276,12 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Whether callers should be sent here.
+    /// Readiness for callers.
     pub fn is_ready(&self) -> bool {
         *self.stage.borrow() == Stage::Serving && self.core.borrow().view.is_some()
     }
 
-    /// Takes in which hosts there are.
+    /// Updates the list of hosts from the membership.
     pub fn update_hosts(&self) {
         self.update_share();
         let swim = self.swim.borrow();
@@ -285,8 +290,8 @@
         self.core.borrow_mut().hosts.update(serving);
     }
 
-    /// Takes in how many hosts this one shares with; also due as time passes, since those that ended stop
-    /// counting after a while.
+    /// Updates this host's share of fleet-wide limits. Also called periodically, since hosts that
+    /// ended stop counting after a while.
     pub fn update_share(&self) {
         let swim = self.swim.borrow();
         let mut core = self.core.borrow_mut();
@@ -313,7 +318,9 @@
             before_ms = provenance.previous_age.map(|age| age.as_millis() as u64),
             "in force"
         ),
-        Change::Refused { key, cause } => warn!(event = "item", key, cause, revision, "refused"),
+        Change::Refused { key, cause } => {
+            warn!(event = "item", key, cause, revision, "refused")
+        }
         Change::Server(backend, stage) => {
             info!(event = "backend", %backend, ?stage, revision, "published");
         }
--- a/crates/lentillift-gateway/src/pack.rs
+++ b/crates/lentillift-gateway/src/pack.rs
@@ -1,9 +1,9 @@
-//! Making what is published smaller on its way between hosts.
+//! Compression of published state between hosts.
 //!
-//! Pattern: configurations of hundreds of kilobytes go to every host, over links of a few megabytes a second
-//! that searches share. Sent as they are published, one takes such a link for a second at each host that
-//! passes it on, and searches of these hosts wait behind it. Published text says the same field names again
-//! and again and shrinks to a tenth.
+//! Configurations of hundreds of kilobytes go to every host, over links of a few megabytes a second
+//! that searches share. Uncompressed, one configuration occupies such a link for a second at each
+//! host that forwards it, and searches of these hosts queue behind it. Published text repeats the
+//! same field names and compresses to a tenth of its size.
 
 use crate::frame::MAX_MESSAGE_BYTES;
 use flate2::Compression;
@@ -15,56 +15,60 @@
 use std::io::Read;
 use std::io::Write;
 
-/// Content below this many bytes is not packed: it fits into a packet or two.
+/// Content smaller than this is not compressed: it fits into one or two network packets.
 const MIN_PACKED_BYTES: usize = 2048;
 
-/// Content as it is sent.
+/// Content in the form in which it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Packed {
-    /// As it is.
+    /// Uncompressed.
     Plain(Vec<u8>),
-    /// Deflated.
+    /// Compressed with DEFLATE.
     Deflated(Vec<u8>),
 }
 
 impl Packed {
-    /// Packs `content` if that makes it smaller.
+    /// Compresses `content` unless it is small or compression does not shrink it.
     pub fn pack(content: Vec<u8>) -> Self {
         if content.len() < MIN_PACKED_BYTES {
             return Self::Plain(content);
         }
         match deflate(&content) {
             Ok(deflated) if deflated.len() < content.len() => Self::Deflated(deflated),
-            // Writing to memory does not fail.
+            // Writing to memory does not fail, so an error is not expected here.
             Ok(_) | Err(_) => Self::Plain(content),
         }
     }
 
-    /// What was packed; `peer` sent it.
+    /// Decompresses content received from `peer`.
     ///
     /// # Errors
     ///
-    /// When it is malformed, or larger than anything that is published.
+    /// When it is malformed, or exceeds the size limit of a message once decompressed.
     pub fn unpack(self, peer: &str) -> Result<Vec<u8>> {
         let deflated = match self {
             Self::Plain(content) => return Ok(content),
             Self::Deflated(deflated) => deflated,
         };
         let mut content = Vec::new();
-        // One byte more than any message has tells content that would go on.
-        let most = MAX_MESSAGE_BYTES as u64 + 1;
-        let mut decoder = DeflateDecoder::new(deflated.as_slice()).take(most);
+        // Reads one byte past the limit to detect content that exceeds it.
+        let limit = MAX_MESSAGE_BYTES as u64 + 1;
+        let mut decoder = DeflateDecoder::new(deflated.as_slice()).take(limit);
         let read = decoder.read_to_end(&mut content);
         read.map_err(|e| Error::new(Step::Decode, peer, e))?;
         match content.len() {
             0..=MAX_MESSAGE_BYTES => Ok(content),
-            _ => Err(Error::new(Step::Decode, peer, "too large when unpacked")),
+            _ => Err(Error::new(
+                Step::Decode,
+                peer,
+                "decompressed content is too large",
+            )),
         }
     }
 }
 
 fn deflate(content: &[u8]) -> std::io::Result<Vec<u8>> {
-    // Better ones take several times as long for a few parts in a hundred.
+    // Higher levels take several times as long for a gain of a few percent.
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(content)?;
     encoder.finish()
--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -1,4 +1,4 @@
-//! Where published state is read.
+//! Interface to the service that publishes configuration.
 
 use lentillift_core::error::Result;
 use lentillift_core::id;
@@ -8,29 +8,30 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// What a wait for changes brought.
+/// Result of [`Source::watch`].
 #[derive(Debug)]
 pub enum WatchResult {
-    /// What changed, possibly nothing.
+    /// The changes; empty if there were none.
     Changes(News),
-    /// The history after the revision is gone: read everything.
+    /// The history after the revision was compacted, so everything has to be read.
     Compacted,
 }
 
 /// A service that publishes items under keys, with revisions.
 ///
-/// An answer that is still coming is waited for, however long it takes: large values over a busy link take
-/// longer than a service that is well lets one wait for its first word. How long a call may take
-/// altogether is up to the one who calls.
+/// Calls have no total time limit of their own: a response that is still arriving is read to its
+/// end, since large values over a busy link take longer than a healthy service takes to its first
+/// byte. The caller of a method bounds its total time.
 pub trait Source: 'static {
-    /// Reads everything; fails if nothing comes for `silence`.
+    /// Reads all items; fails if no data arrives for `silence`.
     ///
     /// # Errors
     ///
-    /// When the service can't be reached, refuses, falls silent, or its answer can't be understood.
+    /// When the service can't be reached, refuses, stops sending, or its response is malformed.
     fn read(&self, silence: Duration) -> impl Future<Output = Result<News>>;
 
-    /// Waits up to `wait` for changes after `after`, and answers without any no sooner; fails if nothing comes for `silence` after that.
+    /// Waits up to `wait` for changes after revision `after`. A response without changes comes no
+    /// sooner than `wait`. Fails if no data arrives for `silence` after that.
     ///
     /// # Errors
     ///
@@ -42,6 +43,6 @@
         silence: Duration,
     ) -> impl Future<Output = Result<WatchResult>>;
 
-    /// Says what an item means.
+    /// Decodes the value of an item.
     fn decode(&self, item: &Item) -> Meaning;
 }
