--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process: its listeners, its tasks, and its end.
+//! The process: start, listeners, background tasks and shutdown.
 
 use crate::dialect::Dialect;
 use crate::feed;
@@ -53,23 +53,23 @@
 use tracing::info;
 use tracing::warn;
 
-/// Time between two looks at what has expired.
+/// Interval between two passes that remove expired state.
 const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time beyond its sleep after which a process that did nothing says so.
+/// Delay of the housekeeping timer from which a stall is logged.
 const STALL_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the settings file, which may change without a signal.
+/// Interval between two checks of the settings file, which may change without a signal.
 const SETTINGS_PERIOD: Duration = Duration::from_secs(1);
 
-/// Part of the time to end for which callers are still taken: the balancer looks once a second and
-/// stops sending callers after two looks.
+/// Fraction of the shutdown grace period during which callers are still accepted. The balancer
+/// polls readiness once a second and stops sending callers after two failed polls.
 const LEAVING_SHARE: f64 = 0.42;
 
-/// Time before the end of the time to end at which the process ends by itself.
+/// Time before the end of the shutdown grace period at which the process exits by itself.
 const END_MARGIN: Duration = Duration::from_millis(350);
 
-/// What one process is told at its start.
+/// Settings of one process at its start.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This host's name.
@@ -78,38 +78,39 @@
     pub domain: id::Domain,
     /// The region of each failure domain.
     pub regions: BTreeMap<id::Domain, id::Region>,
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub front: SocketAddr,
-    /// Connections of callers at a time.
+    /// Maximum number of concurrent caller connections.
     pub max_callers: usize,
-    /// Where the balancer asks whether callers should be sent here.
+    /// Address of the listener for the balancer's readiness probes.
     pub ready: SocketAddr,
-    /// Where other hosts connect, by TCP and UDP.
+    /// Address at which other hosts reach this one, by TCP and UDP.
     pub node: SocketAddr,
-    /// Where their connections are accepted; not at `node` if something in between passes them on.
+    /// Address of the TCP listener for other hosts; differs from `node` if a proxy in between
+    /// forwards their connections.
     pub inbound: SocketAddr,
-    /// Where metrics are read; none to serve them nowhere.
+    /// Address of the listener for operators (metrics, quarantine); none disables it.
     pub metrics: Option<SocketAddr>,
-    /// What may change while the process runs.
+    /// Settings that may change at run time.
     pub tuning: Tuning,
-    /// How soon news has to be in force.
+    /// Bounds on the age of published state.
     pub freshness: follow::Options,
-    /// Time from the signal to end until the process is killed.
+    /// Time from the termination signal until the process is killed.
     pub grace: Duration,
 }
 
-/// Settings that may change while the process runs.
+/// Settings that may change at run time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
-    /// Addresses of some other hosts.
+    /// Addresses of some other hosts, contacted first to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Figures of how requests are served.
+    /// Parameters of request handling.
     pub options: Options,
 }
 
-/// Runs the process until it is told to end.
+/// Runs the process until it receives a termination signal.
 ///
-/// `reload` says what the settings file holds now, if it changed.
+/// `reload` returns the current run-time settings if they changed since its last call.
 ///
 /// # Errors
 ///
@@ -143,8 +144,8 @@
     S: Source,
     F: FnMut() -> Option<Tuning> + 'static,
 {
-    // Before anything can be seen of the process: a signal without a handler would end it in the middle
-    // of its start, and whoever sent it to have settings read again would find the process gone.
+    // Handlers are installed before the process is visible from outside. A signal without a handler
+    // would terminate it during its start, so a SIGHUP meant to reload settings would kill it.
     let mut term = handler(SignalKind::terminate())?;
     let hangup = handler(SignalKind::hangup())?;
     let front = bind(settings.front).await?;
@@ -187,7 +188,7 @@
     Ok(())
 }
 
-/// Makes what the tasks of a process share.
+/// Creates the state that the tasks of a process share.
 pub fn new_host<D, S>(settings: &Settings, dialect: D, source: S) -> Rc<Host<D, S>>
 where
     D: Dialect,
@@ -196,9 +197,10 @@
     let clock = Clock::start();
     let now = clock.now();
     let wall = SystemTime::now().duration_since(UNIX_EPOCH);
-    // A clock before 1970 gives version 1; peers that remember a higher one are contradicted.
+    // A clock before 1970 gives incarnation 1. Peers that remember a higher one are refuted by the
+    // membership protocol.
     let incarnation = wall.map_or(1, |wall| wall.as_millis() as u64).max(1);
-    let me = Member {
+    let own = Member {
         host: settings.name.clone(),
         address: settings.node,
         domain: settings.domain.clone(),
@@ -218,7 +220,7 @@
     let swim = Swim::new(
         probe::Options::default(),
         now,
-        me,
+        own,
         tuning.seeds,
         settings.regions.clone(),
         StdRng::seed_from_u64(incarnation ^ core.ticket),
@@ -252,8 +254,9 @@
     })
 }
 
-/// Ends without cutting a request off: callers stop being sent here, then connections without a
-/// request are closed, then the rest are answered.
+/// Shuts down without interrupting a request. First readiness fails so that no more callers are
+/// sent here, then connections without a request are closed, then the remaining requests are
+/// answered.
 async fn shut_down<D, S>(host: &Host<D, S>, socket: &UdpSocket, grace: Duration)
 where
     D: Dialect,
@@ -264,13 +267,13 @@
         callers = host.caller_connections.get(),
         "leaving"
     );
-    let began = host.now();
+    let started = host.now();
     host.stage.send_replace(Stage::Leaving);
     let effects = host.swim.borrow_mut().leave();
     member::apply_effects(host, socket, effects);
     tokio::time::sleep(grace.mul_f64(LEAVING_SHARE)).await;
     host.stage.send_replace(Stage::Closing);
-    let deadline = began + grace.saturating_sub(END_MARGIN);
+    let deadline = started + grace.saturating_sub(END_MARGIN);
     while host.caller_connections.get() > 0 && host.now() < deadline {
         tokio::time::sleep(HOUSEKEEPING_PERIOD / 5).await;
     }
@@ -284,7 +287,7 @@
     );
 }
 
-/// Lets go of what has expired, and says when this process can take callers.
+/// Removes expired state, updates gauges, and announces when this process is ready for callers.
 async fn housekeeping<D, S>(host: Rc<Host<D, S>>, socket: Rc<UdpSocket>)
 where
     D: Dialect,
@@ -297,7 +300,8 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(HOUSEKEEPING_PERIOD) => {}
-            // The first configuration is what callers of a fleet that starts anew are waiting for.
+            // Callers of a fleet that cold-starts wait for the first configuration, so readiness is
+            // not delayed until the next pass.
             _ = changed.changed(), if !serving => {}
         }
         let now = host.now();
@@ -312,51 +316,51 @@
         }
         let view = host.core.borrow().view.clone();
         if let Some(view) = view {
-            let known = |id: &id::Backend| {
+            let is_published = |id: &id::Backend| {
                 let mut all = view.servers.values().flatten();
                 all.any(|server| server.entry.id == *id)
             };
-            host.pool.sweep(known);
+            host.pool.sweep(is_published);
             host.peers.sweep();
             if !serving {
                 serving = true;
                 info!(
                     event = "ready",
                     config = view.config.version,
-                    "taking callers"
+                    "ready for callers"
                 );
                 let effects = host.swim.borrow_mut().serve();
                 member::apply_effects(&host, &socket, effects);
                 host.update_hosts();
             }
         }
-        let board = &host.metrics;
-        board.gauge(metric::OPENED, host.pool.opened() as f64);
-        board.gauge(metric::IDLE, host.pool.idle() as f64);
+        let registry = &host.metrics;
+        registry.gauge(metric::OPENED, host.pool.opened() as f64);
+        registry.gauge(metric::IDLE, host.pool.idle() as f64);
         let age = host.age().map_or(-1.0, |age| age.as_secs_f64());
-        board.gauge(metric::AGE, age);
+        registry.gauge(metric::AGE, age);
         let lag = host.core.borrow().lag.mean();
-        board.gauge(metric::LAG, lag.as_secs_f64());
+        registry.gauge(metric::LAG, lag.as_secs_f64());
         let version = host.catalog.borrow().version();
-        board.gauge(metric::CONFIG, version.unwrap_or(0) as f64);
+        registry.gauge(metric::CONFIG, version.unwrap_or(0) as f64);
     }
 }
 
-/// Logs that this process did nothing for longer than it meant to sleep, as when its host stands still or
-/// has no processor time left.
-fn log_stall(passed: Duration) {
-    let late = passed.saturating_sub(HOUSEKEEPING_PERIOD);
+/// Logs a stall: the process ran later than its timer by [`STALL_THRESHOLD`] or more, as when its
+/// host was frozen or out of processor time.
+fn log_stall(elapsed: Duration) {
+    let late = elapsed.saturating_sub(HOUSEKEEPING_PERIOD);
     if late >= STALL_THRESHOLD {
         warn!(
             event = "stall",
             late_ms = late.as_millis() as u64,
-            "did not run"
+            "process did not run"
         );
     }
 }
 
-/// Logs when what is believed becomes older than the bound on news, and when it no longer is; says whether
-/// it is now.
+/// Logs when the local copy of the published state becomes older than the freshness bound, and when
+/// it is within the bound again. Returns whether it is older now.
 fn log_outdated<D, S>(host: &Host<D, S>, was_outdated: bool) -> bool
 where
     D: Dialect,
@@ -370,14 +374,24 @@
     let origin = host.origin.borrow();
     if is_outdated && !was_outdated {
         host.metrics.add(metric::OUTDATED, 1);
-        warn!(event = "age", age_ms, ?origin, "older than the bound");
+        warn!(
+            event = "age",
+            age_ms,
+            ?origin,
+            "published state is older than the bound"
+        );
     } else if was_outdated && !is_outdated {
-        info!(event = "age", age_ms, ?origin, "within the bound again");
+        info!(
+            event = "age",
+            age_ms,
+            ?origin,
+            "published state is within the bound again"
+        );
     }
     is_outdated
 }
 
-/// Puts changed settings in force.
+/// Applies changed settings, on SIGHUP or when the settings file changes.
 async fn watch_settings<D, S, F>(host: Rc<Host<D, S>>, mut hangup: Signal, mut reload: F)
 where
     D: Dialect,
--- a/crates/lentillift-gateway/src/frame.rs
+++ b/crates/lentillift-gateway/src/frame.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: `bincode` in frames with a length, in the bodies of `h2` streams.
+//! Messages between hosts: `bincode`, with a length prefix, in the bodies of HTTP/2 streams.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -22,15 +22,15 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Largest message, in bytes: everything that is published for 4,600 backend servers takes two.
+/// Largest message, in bytes. The complete published state of 4,600 backend servers takes two MiB.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// A body that is made while it is sent.
+/// A streamed body.
 ///
-/// It is dropped as soon as the peer gives up on the stream, and with it all that it works on.
+/// It is dropped, with everything that it owns, as soon as the peer resets the stream.
 pub type Body = StreamBody<LocalBoxStream<'static, std::result::Result<Frame<Bytes>, Infallible>>>;
 
-/// A body of these messages.
+/// Makes a body that streams encoded messages.
 pub fn body<S>(messages: S) -> Body
 where
     S: Stream<Item = Bytes> + 'static,
@@ -44,7 +44,7 @@
         .new_codec()
 }
 
-/// Encodes a message without a length.
+/// Encodes a message without a length prefix.
 ///
 /// # Errors
 ///
@@ -59,7 +59,7 @@
         .map_err(|e| Error::new(Step::Write, peer, e))
 }
 
-/// Encodes a message with its length before it.
+/// Encodes a message with a length prefix.
 ///
 /// # Errors
 ///
@@ -74,7 +74,7 @@
     Ok(framed.freeze())
 }
 
-/// Decodes a message without a length.
+/// Decodes a message without a length prefix.
 ///
 /// # Errors
 ///
@@ -89,23 +89,23 @@
     Ok(message)
 }
 
-/// Messages of type `T` from a peer.
+/// Reads messages of type `T` from a peer's body.
 #[derive(Debug)]
 pub struct Reader<T> {
     peer: String,
     body: Incoming,
     buffer: BytesMut,
     codec: LengthDelimitedCodec,
-    /// When the first bytes of the message that is being read came.
+    /// When the first bytes of the current message arrived; none between messages.
     message_began: Option<Instant>,
     last: MessageSize,
     kind: PhantomData<T>,
 }
 
-/// How large a message was.
+/// Size and transfer time of a message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MessageSize {
-    /// Its length, in bytes.
+    /// Encoded length, in bytes.
     pub bytes: usize,
     /// Time from its first bytes to its last.
     pub took: Duration,
@@ -115,7 +115,7 @@
 where
     T: Decode<()>,
 {
-    /// Reads messages of `peer`.
+    /// Creates a reader of the messages in `body`; `peer` names the sender in errors.
     pub fn new(peer: &str, body: Incoming) -> Self {
         Self {
             peer: peer.to_owned(),
@@ -128,30 +128,30 @@
         }
     }
 
-    /// How large the last message was.
+    /// Size and transfer time of the last message.
     pub fn last(&self) -> MessageSize {
         self.last
     }
 
-    /// Whether a message has begun and is not complete.
+    /// Whether part of a message has arrived and the rest has not.
     pub fn is_mid_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Whom the messages come from.
+    /// Name of the sender.
     pub fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// The next message, unless nothing at all comes for `silence`.
+    /// Reads the next message; fails if no data arrives for `silence`.
     ///
-    /// A message that is still coming is waited for: over a busy link it takes longer than the silence
-    /// after which a peer is given up, and whoever left in the middle would ask another for the whole.
-    /// How long a message may take altogether is the caller's to decide.
+    /// A message that is still arriving is read to its end: over a busy link it takes longer than
+    /// the silence after which a peer is given up, and a follower that disconnected midway would
+    /// request the whole message again elsewhere. The caller bounds the total time of a message.
     ///
     /// # Errors
     ///
-    /// When nothing comes in time, the stream ends, or the message is malformed.
+    /// When no data arrives in time, the stream ends, or the message is malformed.
     pub async fn next(&mut self, silence: Duration) -> Result<T> {
         loop {
             if let Some(message) = self.decode_buffered()? {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The message that the buffer begins with, if all of it is there.
+    /// Decodes the message at the start of the buffer, if it is complete.
     fn decode_buffered(&mut self) -> Result<Option<T>> {
         let bytes = self.codec.decode(&mut self.buffer);
         let Some(bytes) = bytes.map_err(|e| self.fail(e))? else {
@@ -186,7 +186,7 @@
         Error::new(Step::Read, &self.peer, cause)
     }
 
-    /// Tells a peer that said nothing from one that stopped in the middle of a message.
+    /// Distinguishes a peer that sent nothing from one that stopped within a message.
     fn silence_error(&self) -> Error {
         match self.buffer.len() {
             0 => self.fail("nothing came in time"),
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners for whoever is not a caller: the balancer, operators and other hosts.
+//! Listeners for the balancer, operators and other hosts.
 
 use crate::branch;
 use crate::dialect::Dialect;
@@ -35,16 +35,17 @@
 use tokio::net::TcpStream;
 use tracing::warn;
 
-/// Pause after a failed `accept`, for example when the process is out of file descriptors.
+/// Pause after a failed `accept`, which fails for example when the process is out of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest time to read a request of the balancer or of an operator.
+/// Time limit for reading the head of a request of the balancer or an operator.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest message of another host, in bytes.
+/// Largest request body of another host, in bytes.
 const MAX_REQUEST_BYTES: usize = 4 * 1024 * 1024;
 
-/// The next connection; a failed `accept` is tried again after a pause.
+/// Accepts the next connection; retries after a pause if `accept` fails.
 pub(crate) async fn accept_with_retry(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -57,16 +58,16 @@
     }
 }
 
-/// Whom a listener is for.
+/// The clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// The balancer, which asks whether callers should be sent here.
+    /// The balancer, which polls whether callers should be sent here.
     Balancer,
-    /// Operators, who may read metrics and lift quarantines as well.
+    /// Operators, who may also read metrics, and list and lift quarantines.
     Operators,
 }
 
-/// Tells the balancer or operators how this process is.
+/// Serves readiness to the balancer, or metrics and quarantines to operators.
 pub async fn serve_operations<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, audience: Audience)
 where
     D: Dialect,
@@ -87,28 +88,28 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // Its error concerns nobody but the one who asked.
+            // An error affects only this client.
             let _ = connection.await;
         });
     }
 }
 
-/// All metrics, with those that are only worked out when somebody asks.
+/// Renders all metrics, after updating the gauges that are computed on demand.
 fn metrics<D, S>(host: &Host<D, S>) -> String
 where
     D: Dialect,
     S: Source,
 {
     let now = host.now();
-    let board = &host.metrics;
+    let registry = &host.metrics;
     if let Some(bytes) = memory::resident_bytes() {
-        board.gauge(metric::MEMORY, bytes as f64);
+        registry.gauge(metric::MEMORY, bytes as f64);
     }
-    board.gauge(metric::FOLLOWERS, host.followers.get() as f64);
-    board.gauge(metric::LOG_DROPPED, log::all_dropped() as f64);
+    registry.gauge(metric::FOLLOWERS, host.followers.get() as f64);
+    registry.gauge(metric::LOG_DROPPED, log::all_dropped() as f64);
     let left = host.core.borrow_mut().budget_left(now);
-    board.gauge(metric::BUDGET, left);
-    board.render(now)
+    registry.gauge(metric::BUDGET, left);
+    registry.render(now)
 }
 
 fn readiness<D, S>(host: &Host<D, S>) -> Response<Full<Bytes>>
@@ -138,8 +139,8 @@
         quarantine::LIST => return text(quarantine::list(host)),
         _ => {}
     }
-    let lifted = path.strip_prefix(quarantine::LIFT);
-    let Some(fingerprint) = lifted.filter(|_| request.method() == Method::DELETE) else {
+    let fingerprint = path.strip_prefix(quarantine::LIFT);
+    let Some(fingerprint) = fingerprint.filter(|_| request.method() == Method::DELETE) else {
         return readiness(host);
     };
     let mut response = Response::new(Full::default());
@@ -151,7 +152,7 @@
 
 type Body = Either<Full<Bytes>, frame::Body>;
 
-/// Serves other hosts.
+/// Accepts and serves connections of other hosts.
 pub async fn serve_hosts<D, S>(host: Rc<Host<D, S>>, listener: TcpListener)
 where
     D: Dialect,
@@ -176,7 +177,7 @@
     let connection = http2::Builder::new(Executor)
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
-    // Its error ends the peer's requests, which the peer notices.
+    // An error ends the peer's requests, and the peer sees that.
     let _ = connection.await;
 }
 
@@ -191,14 +192,14 @@
     let path = request.uri().path().to_owned();
     if path == branch::PATH {
         let body = http_body_util::Limited::new(request.into_body(), MAX_REQUEST_BYTES);
-        let answered = match body.collect().await {
+        let result = match body.collect().await {
             Ok(body) => branch::answer::answer(&host, &body.to_bytes()),
             Err(e) => Err(Error::new(Step::Read, "host", e)),
         };
-        return match answered {
+        return match result {
             Ok(body) => Response::new(Either::Right(body)),
             Err(error) => {
-                warn!(event = "branch", %error, "not served");
+                warn!(event = "branch", %error, "request of another host not served");
                 bad_request().map(Either::Left)
             }
         };
@@ -209,8 +210,8 @@
     let after = path.strip_prefix(feed::PATH);
     match after.and_then(|after| after.parse().ok()) {
         Some(after) => {
-            let questions = Some(request.into_body());
-            Response::new(Either::Right(feed::serve::body(host, after, questions)))
+            let queries = Some(request.into_body());
+            Response::new(Either::Right(feed::serve::body(host, after, queries)))
         }
         None => bad_request().map(Either::Left),
     }
@@ -222,14 +223,14 @@
     S: Source,
 {
     let body = http_body_util::Limited::new(body, MAX_REQUEST_BYTES);
-    let answered = match body.collect().await {
+    let result = match body.collect().await {
         Ok(body) => quarantine::answer(host, &body.to_bytes()),
         Err(e) => Err(Error::new(Step::Read, "host", e)),
     };
-    match answered {
+    match result {
         Ok(answer) => Response::new(Either::Left(Full::new(answer))),
         Err(error) => {
-            warn!(event = "quarantine", %error, "not served");
+            warn!(event = "quarantine", %error, "quarantine exchange of another host not served");
             bad_request().map(Either::Left)
         }
     }
--- a/crates/lentillift-gateway/src/log.rs
+++ b/crates/lentillift-gateway/src/log.rs
@@ -1,8 +1,8 @@
-//! Structured logs to standard output that never hold up a request.
+//! Structured logs that never block a request.
 //!
-//! What goes wrong without it: whoever reads the output stops reading, the pipe fills, and the next
-//! line blocks the only thread. Lines go through a bounded queue to a thread of their own, which
-//! writes what has gathered at once; lines that find the queue full are dropped and counted.
+//! If the reader of the output stalls, the pipe fills and the next write would block the only
+//! thread. Lines therefore go through a bounded queue to a writer thread, which writes them in
+//! batches. Lines that find the queue full are dropped and counted.
 
 use std::io;
 use std::io::Write;
@@ -17,20 +17,20 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait at most; a second of the most talkative load.
+/// Capacity of the queue, in lines: one second of the heaviest load.
 const QUEUE_LINES: usize = 2048;
 
-/// Lines that are written in one second at most; formatting and writing one takes some 20 us of the
-/// processor, so this is 2% of a quarter of a core.
+/// Highest sustained rate, in lines per second. Formatting and writing a line takes some 20 us of
+/// processor time, so this is 2% of a quarter of a core.
 const LINES_PER_SECOND: f64 = 250.0;
 
-/// Lines that may be written at once after a calm time.
+/// Largest burst, in lines, after a quiet period.
 const BURST_LINES: f64 = 500.0;
 
-/// Time for which lines gather before they are written together: one wake-up in place of many.
+/// Time for which lines are collected before they are written together, to save wake-ups.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A way to write lines.
+/// Handle to a log; clones write to the same queue.
 #[derive(Debug, Clone)]
 pub struct Log {
     lines: SyncSender<Vec<u8>>,
@@ -38,7 +38,7 @@
 }
 
 impl Log {
-    /// Starts the thread that writes to `output`.
+    /// Starts the writer thread for `output`.
     pub fn start<W>(output: W) -> Self
     where
         W: Write + Send + 'static,
@@ -50,7 +50,7 @@
         Self { lines, dropped }
     }
 
-    /// Makes this the process's log, for events of `level` and above.
+    /// Installs this as the process's log, for events of `level` and above.
     pub fn install(&self, level: &str) {
         tracing_subscriber::fmt()
             .json()
@@ -61,21 +61,21 @@
             .init();
     }
 
-    /// Waits until what was logged so far has been written, before the process ends.
+    /// Waits long enough for queued lines to be written, before the process exits.
     pub fn wait_until_written(&self) {
         std::thread::sleep(BATCH_INTERVAL * 3);
     }
 
-    /// Lines that were dropped.
+    /// Number of lines of this log that were left out or dropped.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
-/// Lines that all logs of this process have left out or dropped.
+/// Number of lines that all logs of this process left out or dropped.
 static ALL_DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that all logs of this process have left out or dropped.
+/// Number of lines that all logs of this process left out or dropped.
 pub fn all_dropped() -> u64 {
     ALL_DROPPED.load(Ordering::Relaxed)
 }
@@ -110,7 +110,7 @@
             let line = format!("{{\"event\":\"log\",\"left_out\":{left_out}}}\n");
             bytes.extend_from_slice(line.as_bytes());
         }
-        // Nobody is left to tell that the log can't be written.
+        // A failed write can't be reported: this is the log itself.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
     }
 }
--- a/crates/lentillift-gateway/src/member.rs
+++ b/crates/lentillift-gateway/src/member.rs
@@ -1,4 +1,4 @@
-//! Membership over datagrams.
+//! Membership protocol over UDP.
 
 use crate::dialect::Dialect;
 use crate::host::Host;
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 use tracing::info;
 
-/// Takes part in membership until the process is over.
+/// Runs the membership protocol until the process ends.
 pub async fn run<D, S>(host: Rc<Host<D, S>>, socket: Rc<UdpSocket>)
 where
     D: Dialect,
@@ -24,7 +24,7 @@
         let effects = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, _)) => receive(&host, &buffer[..length]),
-                // A peer's port was closed; the probe of it fails by its timeout.
+                // A peer's port is closed; the probe of it times out.
                 Err(_) => Vec::new(),
             },
             _ = ticks.tick() => host.swim.borrow_mut().tick(host.now()),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Carries out what membership decides.
+/// Carries out the effects of the membership protocol.
 pub fn apply_effects<D, S>(host: &Host<D, S>, socket: &UdpSocket, effects: Vec<Effect>)
 where
     D: Dialect,
@@ -58,9 +58,9 @@
     for effect in effects {
         match effect {
             Effect::Packet(address, packet) => match datagram::encode(packet) {
-                // A datagram that can't be sent now is lost like any other; probes are repeated.
+                // A datagram that can't be sent now counts as lost; probes are repeated.
                 Ok(bytes) => drop(socket.try_send_to(&bytes, address)),
-                Err(error) => info!(event = "datagram", error, "not sent"),
+                Err(error) => info!(event = "datagram", error, "datagram not encoded"),
             },
             Effect::Changed(member) => {
                 changed = true;
--- a/crates/lentillift-gateway/src/memory.rs
+++ b/crates/lentillift-gateway/src/memory.rs
@@ -1,15 +1,15 @@
-//! Memory of this process, as the system counts it.
+//! Resident memory of this process.
 
-/// Where Linux tells it.
+/// Linux's status file of the current process.
 const STATUS_PATH: &str = "/proc/self/status";
 
-/// Bytes in memory; none where the system does not tell.
+/// Resident memory in bytes; none where the system does not report it.
 pub fn resident_bytes() -> Option<u64> {
     let status = std::fs::read_to_string(STATUS_PATH).ok()?;
     parse_resident_bytes(&status)
 }
 
-/// The line `VmRSS:  9404 kB` of a status file, in bytes.
+/// Parses the line `VmRSS:  9404 kB` of a status file; returns bytes.
 pub fn parse_resident_bytes(status: &str) -> Option<u64> {
     let line = status
         .lines()
--- a/crates/lentillift-gateway/src/metric.rs
+++ b/crates/lentillift-gateway/src/metric.rs
@@ -1,121 +1,120 @@
-//! Counters, gauges and latencies of this process; their meanings stand in
-//! [`lentillift_operator::catalog`].
+//! Counters, gauges and latencies of this process, described in [`lentillift_operator::catalog`].
 
 use lentillift_core::time::Time;
 use lentillift_operator::metric::Metrics;
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Callers' requests, by outcome.
+/// Counter of callers' requests, by outcome.
 pub const REQUESTS: &str = "lentillift_gateway_requests_total";
 
-/// Time to answer callers' requests, by route and outcome.
+/// Latency of callers' requests, by route and outcome.
 pub const REQUEST_SECONDS: &str = "lentillift_gateway_request_seconds";
 
-/// Time from a send to its end, by route, hop and outcome.
+/// Latency of sends, by route, hop and outcome.
 pub const SEND_SECONDS: &str = "lentillift_gateway_send_seconds";
 
-/// Sends, by where they went.
+/// Counter of sends, by kind of target.
 pub const SENDS: &str = "lentillift_gateway_sends_total";
 
-/// Backend servers that ended while they had a request of this host.
+/// Counter of backend servers that ended while they had a request of this host.
 pub const SERVERS_ENDED: &str = "lentillift_gateway_servers_ended_total";
 
-/// Changes in what is held of requests under which servers ended, by what is held now.
+/// Counter of changes of quarantine accounts, by new state.
 pub const QUARANTINE_CHANGES: &str = "lentillift_gateway_quarantine_changes_total";
 
-/// Repeated sends that the budget did not allow.
+/// Counter of repeated sends that the budget did not allow.
 pub const REPEATS_REFUSED: &str = "lentillift_gateway_repeats_refused_total";
 
-/// Calls to the service that publishes, by kind and outcome.
+/// Counter of calls to the configuration service, by kind and outcome.
 pub const SERVICE_CALLS: &str = "lentillift_gateway_service_calls_total";
 
-/// Connections of callers that were taken.
+/// Counter of accepted caller connections.
 pub const CALLERS: &str = "lentillift_gateway_caller_connections_total";
 
-/// Datagrams that could not be understood.
+/// Counter of malformed datagrams.
 pub const MALFORMED: &str = "lentillift_gateway_datagrams_malformed_total";
 
-/// Connections to backend servers that were opened.
+/// Gauge of the number of connections to backend servers opened since the start.
 pub const OPENED: &str = "lentillift_gateway_backend_connections_opened";
 
-/// Connections to backend servers without a request.
+/// Gauge of idle connections to backend servers.
 pub const IDLE: &str = "lentillift_gateway_backend_connections_idle";
 
-/// Hosts that may be at work, this one included.
+/// Gauge of hosts that may be serving, this one included.
 pub const HOSTS: &str = "lentillift_gateway_hosts";
 
-/// Version of the configuration in force.
+/// Gauge of the version of the configuration in force; 0 before the first.
 pub const CONFIG: &str = "lentillift_gateway_config_version";
 
-/// Hosts that learn from this one what is published.
+/// Gauge of hosts that follow this one.
 pub const FOLLOWERS: &str = "lentillift_gateway_followers";
 
-/// Origins of published state that were left because they failed, by kind.
+/// Counter of origins of published state that were left because they failed, by kind.
 pub const ORIGINS_LOST: &str = "lentillift_gateway_origins_lost_total";
 
-/// Times that what is believed became older than the bound on news.
+/// Counter of times that the local state became older than the freshness bound.
 pub const OUTDATED: &str = "lentillift_gateway_outdated_total";
 
-/// Requests that waited for news before they were served, by whether it came.
+/// Counter of requests that waited for an update before they were served, by whether it came.
 pub const CAUGHT_UP: &str = "lentillift_gateway_caught_up_total";
 
-/// Bytes of published state that were told to followers.
+/// Counter of bytes of updates sent to followers.
 pub const UPDATE_BYTES_SENT: &str = "lentillift_gateway_news_told_bytes_total";
 
-/// Bytes of published state that were heard from other hosts.
+/// Counter of bytes of updates received from other hosts.
 pub const UPDATE_BYTES_RECEIVED: &str = "lentillift_gateway_news_heard_bytes_total";
 
-/// Age of what is believed of the published state.
+/// Gauge of the age of the local state, in seconds; -1 before the first update.
 pub const AGE: &str = "lentillift_gateway_age_seconds";
 
-/// How late timers fire on average.
+/// Gauge of the mean delay of timers, in seconds.
 pub const LAG: &str = "lentillift_gateway_timer_lag_seconds";
 
-/// Bytes of this process in memory.
+/// Gauge of this process's resident memory, in bytes.
 pub const MEMORY: &str = "lentillift_gateway_memory_bytes";
 
-/// Lines that the log left out or dropped.
+/// Gauge of log lines left out or dropped since the start.
 pub const LOG_DROPPED: &str = "lentillift_gateway_log_lines_dropped";
 
-/// Repeated sends that the budgets of all services still allow this host.
+/// Gauge of repeated sends that the budgets of all services still allow this host.
 pub const BUDGET: &str = "lentillift_gateway_budget_left";
 
-/// Everything that is counted, shared by the tasks of one thread.
+/// All metrics, shared by the tasks of one thread.
 #[derive(Debug, Default)]
 pub struct Registry {
     metrics: RefCell<Metrics>,
 }
 
 impl Registry {
-    /// Counts one event of `name` with an outcome, a reason or a kind.
+    /// Counts one event of `name`, labelled with an outcome, a reason or a kind.
     pub fn count(&self, name: &'static str, kind: &'static str) {
         self.metrics.borrow_mut().add(name, &[("kind", kind)], 1);
     }
 
-    /// Counts one call of a kind, and whether it brought what was asked for.
+    /// Counts one call, labelled with its kind and whether it succeeded.
     pub fn count_call(&self, name: &'static str, kind: &'static str, succeeded: bool) {
         let outcome = if succeeded { "ok" } else { "failed" };
         let labels = [("kind", kind), ("outcome", outcome)];
         self.metrics.borrow_mut().add(name, &labels, 1);
     }
 
-    /// Counts several events.
+    /// Adds `count` events to an unlabelled counter.
     pub fn add(&self, name: &'static str, count: u64) {
         self.metrics.borrow_mut().add(name, &[], count);
     }
 
-    /// Sets a value that goes up and down.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &'static str, value: f64) {
         self.metrics.borrow_mut().set(name, &[], value);
     }
 
-    /// Notes how long something took.
+    /// Records a latency in a histogram.
     pub fn observe(&self, name: &'static str, labels: &[(&str, &str)], took: Duration) {
         self.metrics.borrow_mut().record(name, labels, took);
     }
 
-    /// All of it, as text.
+    /// Renders all metrics as text, for a scrape.
     pub fn render(&self, now: Time) -> String {
         self.metrics.borrow().text(now)
     }
--- a/crates/lentillift-gateway/src/peer.rs
+++ b/crates/lentillift-gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Connections to other hosts: one `h2` connection each, opened when it is first needed.
+//! Connections to other hosts: one HTTP/2 connection each, opened on first use.
 
 use crate::frame;
 use crate::local::Executor;
@@ -20,18 +20,18 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest time to open a connection; a hundred round trips within a region.
+/// Time limit for opening a connection: a hundred round trips within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that a peer may send before they are read.
+/// HTTP/2 flow-control window of streams and connections.
 const WINDOW_BYTES: u32 = 1024 * 1024;
 
-/// What is sent: a whole message, or messages that are made while they are sent.
+/// A request body: one complete message, or a stream of messages.
 type Body = Either<Full<Bytes>, frame::Body>;
 
 type Sender = http2::SendRequest<Body>;
 
-/// Connections to other hosts.
+/// Open connections to other hosts, by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     open: RefCell<HashMap<SocketAddr, Sender>>,
@@ -42,7 +42,8 @@
     ///
     /// # Errors
     ///
-    /// Step [`Step::Connect`] says that nothing was sent; [`Step::Write`] that it may have been.
+    /// [`Step::Connect`] means that nothing was sent, [`Step::Write`] that the request may have
+    /// been sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -51,8 +52,8 @@
         self.call(address, request.map(Either::Left)).await
     }
 
-    /// Sends a request to the host at `address` whose body is made while it is sent. Whoever gives up on the
-    /// response has to end it as well.
+    /// Sends a request with a streamed body to the host at `address`. A caller that gives up on the
+    /// response has to end the body as well.
     ///
     /// # Errors
     ///
@@ -79,8 +80,8 @@
     }
 
     async fn sender(&self, address: SocketAddr) -> Result<Sender> {
-        let kept = self.open.borrow().get(&address).cloned();
-        if let Some(mut sender) = kept {
+        let cached = self.open.borrow().get(&address).cloned();
+        if let Some(mut sender) = cached {
             if !sender.is_closed() && sender.ready().await.is_ok() {
                 return Ok(sender);
             }
@@ -91,15 +92,15 @@
         Ok(sender)
     }
 
-    /// Forgets connections that have ended, such as those to hosts that were replaced.
+    /// Removes connections that have ended, such as those to hosts that were replaced.
     pub fn sweep(&self) {
         let mut open = self.open.borrow_mut();
         open.retain(|_, sender| !sender.is_closed());
     }
 
-    /// Gives up the connection to `address`, so that the next request opens a new one.
+    /// Drops the connection to `address`, so that the next request opens a new one.
     ///
-    /// A connection can go silent for good without a reset while new ones work.
+    /// A connection can stay silent forever without a reset, while new ones work.
     pub fn drop_connection(&self, address: SocketAddr) {
         self.open.borrow_mut().remove(&address);
     }
@@ -111,14 +112,14 @@
     let stream = connected.map_err(|_| fail(&"timed out"))?;
     let stream = stream.map_err(|e| fail(&e))?;
     set_socket_options(&stream);
-    let shaken = http2::Builder::new(Executor)
+    let handshake = http2::Builder::new(Executor)
         .initial_stream_window_size(WINDOW_BYTES)
         .initial_connection_window_size(WINDOW_BYTES)
         .handshake(TokioIo::new(stream))
         .await;
-    let (sender, connection) = shaken.map_err(|e| fail(&e))?;
+    let (sender, connection) = handshake.map_err(|e| fail(&e))?;
     tokio::task::spawn_local(async move {
-        // An error ends the requests on it too, and is told there.
+        // An error also ends the requests on the connection, which report it.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/lentillift-gateway/src/pool.rs
+++ b/crates/lentillift-gateway/src/pool.rs
@@ -1,9 +1,10 @@
-//! Connections to backend servers, each used for one request at a time.
+//! Pool of connections to backend servers, each used for one request at a time.
 //!
-//! A backend server takes few connections and a new one may hold a slot for some milliseconds, so
-//! connections are kept. What goes wrong with kept ones: the server closes one just as a request is
-//! written to it, which then may or may not have run. Connections are therefore given up before the
-//! server's idle timeout, and well before it for requests that may run only once.
+//! A backend server accepts few connections, and a new one may hold a slot for some milliseconds,
+//! so connections are kept alive. The risk of a kept connection is that the server closes it just
+//! as a request is written to it; the request then may or may not have run. Connections are
+//! therefore dropped before the server's idle timeout, and well before it for requests that must
+//! run at most once.
 
 use bytes::Bytes;
 use http::Request;
@@ -27,44 +28,44 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Longest time to open a connection; a hundred round trips within a region.
+/// Time limit for opening a connection: a hundred round trips within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time after which bytes that nobody acknowledged end a connection.
+/// Time after which unacknowledged data ends a connection (`TCP_USER_TIMEOUT`).
 ///
-/// A connection that went silent would otherwise take requests until TCP gives up after minutes.
+/// A connection that went silent would otherwise receive requests until TCP gives up after minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Longest time to find out whether anybody listens at an address. The next send for the request waits
-/// for it.
+/// Time limit for probing whether a server's port is open. The request's next send waits for this
+/// probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How long a connection is kept if the server does not say how long it keeps it.
+/// Idle time for which a connection is kept if the server specifies none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(8);
 
-/// Time before a server's idle timeout at which a connection is no longer used.
+/// Safety margin before a server's idle timeout, from which a connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Largest reply, in bytes; a larger one would crowd out other requests' memory.
+/// Largest reply, in bytes. A larger one would take memory that other requests need.
 const MAX_REPLY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why an exchange failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing of the request left this host.
+    /// Nothing of the request was sent.
     Unsent(&'static str),
-    /// The request may have run.
+    /// The request may have run; its reply can't be used.
     Broken(&'static str),
-    /// The request may have run; the connection ended before the whole reply was here.
+    /// The request may have run; the connection ended before the reply was complete.
     Cut(&'static str),
 }
 
-/// Nobody listens at the server's address.
+/// The server's port is closed.
 const REFUSED: Failure = Failure::Unsent("connection refused");
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// A connection without a request.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     sender: Sender,
@@ -72,7 +73,7 @@
     keep_alive: Duration,
 }
 
-/// All connections to backend servers.
+/// Idle connections to all backend servers.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<id::Backend, Vec<Idle>>>,
@@ -80,60 +81,62 @@
 }
 
 impl Pool {
-    /// Connections opened so far.
+    /// Number of connections opened since the process started.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Connections without a request.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    /// Sends a request and reads the whole reply, unless `may_leave` says no once there is a connection.
+    /// Sends a request and reads the complete reply. Nothing is sent if `may_send` returns false
+    /// once a connection is ready.
     ///
     /// # Errors
     ///
-    /// Says whether anything of the request may have reached the server.
+    /// The variant tells whether the server may have received any of the request.
     pub async fn exchange<F>(
         &self,
         server: &Server,
         kind: Kind,
         mut request: Request<Full<Bytes>>,
-        may_leave: F,
+        may_send: F,
     ) -> Result<Response<Bytes>, Failure>
     where
         F: Fn() -> bool,
     {
         let backend = &server.entry.id;
         loop {
-            let kept = self.take_idle(backend, kind);
-            let fresh = kept.is_none();
-            let mut sender = match kept {
+            let idle = self.take_idle(backend, kind);
+            let is_new = idle.is_none();
+            let mut sender = match idle {
                 Some(sender) => sender,
                 None => self.open(server.entry.address).await?,
             };
             if sender.ready().await.is_err() {
-                if fresh {
-                    return Err(Failure::Unsent("closed at once"));
+                if is_new {
+                    return Err(Failure::Unsent("connection closed at once"));
                 }
                 continue;
             }
-            if !may_leave() {
-                return Err(Failure::Unsent("server left meanwhile"));
+            if !may_send() {
+                return Err(Failure::Unsent("send withdrawn while connecting"));
             }
             match sender.try_send_request(request).await {
                 Ok(response) => return self.finish(backend, sender, response).await,
                 Err(mut failed) => match failed.take_message() {
-                    Some(unsent) if !fresh => request = unsent,
-                    Some(_) => return Err(Failure::Unsent("closed before the request")),
+                    Some(unsent) if !is_new => request = unsent,
+                    Some(_) => return Err(Failure::Unsent("connection closed before the request")),
                     None => return Err(reply_failure(failed.error())),
                 },
             }
         }
     }
 
-    /// Takes a connection that the server still keeps, the one used last first.
+    /// Takes the most recently used idle connection that the server should still keep open.
+    /// Requests that must run at most once use it for only half of that time.
     fn take_idle(&self, backend: &id::Backend, kind: Kind) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(backend)?;
@@ -149,9 +152,9 @@
         None
     }
 
-    /// Whether nobody listens at the server's address, as after its process ended.
+    /// Whether the server's port is closed, as after its process ended.
     ///
-    /// A connection that could be opened is kept.
+    /// A connection that this opens is kept for later requests.
     pub async fn is_refused(&self, server: &Server) -> bool {
         let opened = tokio::time::timeout(PROBE_TIMEOUT, self.open(server.entry.address)).await;
         match opened {
@@ -174,10 +177,10 @@
         };
         self.opened.set(self.opened.get() + 1);
         set_socket_options(&stream);
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_| Failure::Unsent("handshake failed"))?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|_| Failure::Unsent("handshake failed"))?;
         tokio::task::spawn_local(async move {
-            // Its error ends the exchange too, and is told there.
+            // An error also ends the exchange, which reports it.
             let _ = connection.await;
         });
         Ok(sender)
@@ -211,31 +214,33 @@
         all.entry(backend.clone()).or_default().push(idle);
     }
 
-    /// Closes connections that have been idle for too long or belong to nobody `keeps` names.
-    pub fn sweep<F>(&self, keeps: F)
+    /// Closes connections that have been idle for too long, or whose backend server is not one that
+    /// `is_published` accepts.
+    pub fn sweep<F>(&self, is_published: F)
     where
         F: Fn(&id::Backend) -> bool,
     {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|backend, kept| {
             kept.retain(|one| !one.sender.is_closed() && one.since.elapsed() < one.keep_alive);
-            !kept.is_empty() && keeps(backend)
+            !kept.is_empty() && is_published(backend)
         });
     }
 }
 
-/// Sets what every connection within the system's reach needs.
+/// Sets the socket options of connections within the system: no delay, and a limit on
+/// unacknowledged data.
 pub fn set_socket_options(stream: &TcpStream) {
-    // Both only make failures show sooner; a connection works without.
+    // Both options only make failures visible sooner; the connection works without them.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
-/// What it means that no reply came over a connection.
+/// Classifies an error that ended an exchange after its request was sent.
 fn reply_failure(error: &hyper::Error) -> Failure {
     match error.is_parse() {
         true => Failure::Broken("malformed reply"),
-        false => Failure::Cut("no whole reply"),
+        false => Failure::Cut("no complete reply"),
     }
 }
 
@@ -246,16 +251,16 @@
         .any(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// How long the server keeps a connection without a request, by its `Keep-Alive` header.
+/// Time for which an idle connection is kept, from the server's `Keep-Alive` header.
 fn keep_alive_time(headers: &http::HeaderMap) -> Duration {
-    let told = headers.get("keep-alive").and_then(|v| v.to_str().ok());
-    let told = told.and_then(|value| {
+    let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
+    let timeout = value.and_then(|value| {
         let parts = value.split(',').map(str::trim);
         let timeout = parts.filter_map(|part| part.strip_prefix("timeout="));
         timeout.filter_map(|seconds| seconds.parse().ok()).next()
     });
-    let told = told.map(Duration::from_secs);
-    told.map_or(DEFAULT_KEEP_ALIVE, |told| {
-        told.saturating_sub(KEEP_ALIVE_MARGIN)
+    let timeout = timeout.map(Duration::from_secs);
+    timeout.map_or(DEFAULT_KEEP_ALIVE, |timeout| {
+        timeout.saturating_sub(KEEP_ALIVE_MARGIN)
     })
 }
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -1,8 +1,9 @@
-//! Telling other hosts of requests under which backend servers ended.
+//! Gossip of quarantine accounts: which requests backend servers ended under.
 //!
-//! What goes wrong without it: a caller's next attempt comes to a host that knows nothing of it, and each host
-//! in turn has servers ended. News goes to a few hosts at once, who pass on what is new to them; a
-//! host that missed it, or has just started, learns it in an exchange with another one.
+//! Without it, a caller's next attempt may reach a host that does not know the request, and the
+//! request would crash servers of one host after another. A change is pushed to a few hosts at
+//! once, which forward what is new to them. A host that missed it, or has just started, learns it
+//! in a periodic exchange with another host.
 
 pub(crate) mod wire;
 
@@ -29,41 +30,43 @@
 use tracing::debug;
 use tracing::info;
 
-/// Path of these requests.
+/// Path of requests between hosts.
 pub const PATH: &str = "/v2/quarantine";
 
-/// Path at which operators read what is held, a request a line.
+/// Path at which operators list the accounts, one request per line.
 pub const LIST: &str = "/quarantine";
 
-/// Beginning of the path, before a fingerprint, whose deletion lets a request be sent again.
+/// Path prefix, followed by a fingerprint; `DELETE` on it lifts the quarantine of that request.
 pub const LIFT: &str = "/quarantine/";
 
-/// Hosts that are told of news at once; passed on by each of them it reaches all of 760 in four steps.
+/// Number of hosts to which a change is pushed. With each of them forwarding it, it reaches all of
+/// 760 hosts in four steps.
 pub const FANOUT: usize = 8;
 
-/// Time for which news gathers. Most doubts are over within it.
+/// Time for which changes are collected before they are pushed. Most suspicions are resolved within
+/// it.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Time between two exchanges with another host until the first one has succeeded, and while anything held is
-/// younger than [`RECENT`]: hosts that missed the news have to know soon.
+/// Interval between exchanges with another host until the first one has succeeded, and while any
+/// account is younger than [`RECENT`]: hosts that missed a change have to learn it soon.
 pub const SHORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// Time between two exchanges while only older things are held.
+/// Interval between exchanges while all accounts are older than [`RECENT`].
 pub const LONG_PERIOD: Duration = Duration::from_secs(2);
 
-/// Age up to which hosts may not have heard of something yet.
+/// Age below which an account may not have reached all hosts yet.
 pub const RECENT: Duration = Duration::from_secs(15);
 
-/// Longest time of an exchange.
+/// Time limit of an exchange.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Requests that are told of in one message.
+/// Largest number of accounts in one message.
 const MAX_ACCOUNTS: usize = 64;
 
 /// Largest message, in bytes.
-const MOST_BYTES: usize = 64 * 1024;
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Tells and asks other hosts until the process is over.
+/// Pushes changes and exchanges accounts with other hosts until the process ends.
 pub async fn gossip<D, S>(host: Rc<Host<D, S>>)
 where
     D: Dialect,
@@ -80,7 +83,7 @@
     }
 }
 
-/// Time until the next exchange, by the latest of what is held.
+/// Interval until the next exchange, given the latest account.
 pub fn period(latest: &[Account], has_joined: bool) -> Duration {
     let is_recent = latest.iter().any(|account| account.age < RECENT);
     match is_recent || !has_joined {
@@ -89,25 +92,26 @@
     }
 }
 
-/// Tells some hosts what is new.
+/// Pushes changed accounts to some other hosts.
 async fn push<D, S>(host: &Rc<Host<D, S>>)
 where
     D: Dialect,
     S: Source,
 {
     tokio::time::sleep(BATCH_DELAY).await;
-    let mut news = host.core.borrow_mut().quarantine.news(host.now());
-    news.iter().for_each(|account| log_state(host, account));
-    // What is decided goes first.
-    news.sort_by_key(|account| account.state == State::Suspect);
-    for accounts in news.chunks(MAX_ACCOUNTS) {
+    let mut changed = host.core.borrow_mut().quarantine.news(host.now());
+    changed.iter().for_each(|account| log_state(host, account));
+    // Decided accounts go first, suspects last.
+    changed.sort_by_key(|account| account.state == State::Suspect);
+    for accounts in changed.chunks(MAX_ACCOUNTS) {
         for peer in peers(host, FANOUT) {
             tokio::task::spawn_local(send(host.clone(), peer, accounts.to_vec()));
         }
     }
 }
 
-/// Exchanges with another host what it may not have heard of; says whether that succeeded.
+/// Exchanges accounts with another host; returns whether that succeeded. Until the first success it
+/// sends none, which requests all accounts of the other host.
 async fn exchange<D, S>(host: &Rc<Host<D, S>>, has_joined: bool) -> bool
 where
     D: Dialect,
@@ -131,21 +135,21 @@
     }
 }
 
-/// Some other hosts that answer.
+/// Chooses some other hosts that respond, at random.
 fn peers<D, S>(host: &Host<D, S>, count: usize) -> Vec<SocketAddr> {
     let swim = host.swim.borrow();
     let addresses = swim.answering().map(|member| member.address);
     addresses.choose_multiple(&mut rand::rng(), count)
 }
 
-/// Tells a host, and hears what it holds; says whether it answered.
+/// Sends accounts to a host and merges those that it returns; returns whether it answered.
 async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<Account>) -> bool
 where
     D: Dialect,
     S: Source,
 {
-    let answered = tokio::time::timeout(TIMEOUT, call(&host, peer, &accounts)).await;
-    let failed = match answered {
+    let response = tokio::time::timeout(TIMEOUT, call(&host, peer, &accounts)).await;
+    let error = match response {
         Ok(Ok(answer)) => {
             merge_accounts(&host, &peer.to_string(), &answer.accounts);
             return true;
@@ -156,8 +160,8 @@
             Error::new(Step::Read, peer, "no answer in time")
         }
     };
-    // The next exchange makes up for it.
-    debug!(event = "quarantine", error = %failed, "not told");
+    // A later exchange repairs the loss.
+    debug!(event = "quarantine", %error, "quarantine accounts not exchanged");
     false
 }
 
@@ -178,13 +182,14 @@
     if response.status() != StatusCode::OK {
         return Err(Error::new(Step::Read, peer, response.status()));
     }
-    let body = Limited::new(response.into_body(), MOST_BYTES);
+    let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES);
     let body = body.collect().await;
     let body = body.map_err(|e| Error::new(Step::Read, peer, e))?;
     frame::decode(&body.to_bytes(), &peer.to_string())
 }
 
-/// What is young, if anything is; the rest has reached nearly all hosts and is told in calm times.
+/// Selects the recent accounts, or all accounts if none is recent. Older ones have reached nearly
+/// all hosts and are sent only while nothing is recent.
 pub fn accounts_to_send(mut held: Vec<Account>) -> Vec<Account> {
     if held.iter().any(|account| account.age < RECENT) {
         held.retain(|account| account.age < RECENT);
@@ -192,8 +197,8 @@
     held
 }
 
-/// Hears another host, and answers with what is held here: all of it to a host that tells nothing, since it has
-/// just started.
+/// Merges the accounts of another host, and answers with those of this one: all of them to a host
+/// that sends none, since it has just started.
 ///
 /// # Errors
 ///
@@ -210,14 +215,14 @@
         .quarantine
         .accounts(MAX_ACCOUNTS, host.now());
     merge_accounts(host, "host", &message.accounts);
-    let told = match message.accounts.is_empty() {
+    let reply = match message.accounts.is_empty() {
         true => held,
         false => accounts_to_send(held),
     };
-    frame::encode(&wire::Message::from(told.as_slice()), "host")
+    frame::encode(&wire::Message::from(reply.as_slice()), "host")
 }
 
-/// Takes in what another host holds; what is new is passed on.
+/// Merges accounts of another host; what is new is forwarded.
 pub(crate) fn merge_accounts<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
     let accounts: Vec<Account> = accounts.iter().map(Account::from).collect();
     let now = host.clock.now();
@@ -236,7 +241,8 @@
     }
 }
 
-/// Time until a canary may be sent for a request that is quarantined.
+/// Time until a canary may be sent for a quarantined request; none if it is not quarantined or
+/// stays so until it is lifted.
 fn time_to_canary(state: State) -> Option<Duration> {
     match state {
         State::Quarantined { left, .. } => left,
@@ -244,8 +250,8 @@
     }
 }
 
-/// What is held, for operators: `FINGERPRINT STATE ends=N age_s=N left_s=N` a request, the latest first.
-/// A quarantine without `left_s` stays until it is lifted.
+/// Renders the accounts for operators, the latest first, a line each: `FINGERPRINT STATE ends=N
+/// age_s=N left_s=N`. A quarantine without `left_s` lasts until it is lifted.
 pub fn list<D, S>(host: &Host<D, S>) -> String {
     let accounts = host
         .core
@@ -266,22 +272,25 @@
     lines.collect()
 }
 
-/// Lets a request be sent again at all hosts; says whether it was held.
+/// Lifts a request's quarantine on all hosts; returns whether an account was lifted.
 pub fn lift<D, S>(host: &Host<D, S>, fingerprint: &str) -> bool {
     let now = host.clock.now();
     let mut core = host.core.borrow_mut();
     let held = core.quarantine.accounts(usize::MAX, now);
-    let mut named = held.iter().map(|account| account.fingerprint);
-    let named = named.find(|known| known.to_string() == fingerprint);
-    let is_lifted = named.is_some_and(|known| core.quarantine.lift(known, now));
+    let mut fingerprints = held.iter().map(|account| account.fingerprint);
+    let found = fingerprints.find(|known| known.to_string() == fingerprint);
+    let is_lifted = found.is_some_and(|known| core.quarantine.lift(known, now));
     if is_lifted {
-        info!(event = "quarantine", fingerprint, "lifted by an operator");
+        info!(
+            event = "quarantine",
+            fingerprint, "quarantine lifted by an operator"
+        );
         host.quarantine_changed.notify_one();
     }
     is_lifted
 }
 
-/// Logs what is decided of a request.
+/// Logs and counts a change of an account.
 fn log_state<D, S>(host: &Host<D, S>, account: &Account) {
     let state = state_name(account.state);
     host.metrics.count(metric::QUARANTINE_CHANGES, state);
--- a/crates/lentillift-gateway/src/quarantine/wire.rs
+++ b/crates/lentillift-gateway/src/quarantine/wire.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of requests under which servers ended, as it stands on the wire.
+//! Wire format of the quarantine gossip.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -7,33 +7,33 @@
 use lentillift_fleet::quarantine::State;
 use std::time::Duration;
 
-/// What one host tells another.
+/// Accounts that one host sends to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Message {
     pub(crate) accounts: Vec<Account>,
 }
 
-/// What a host holds of one request.
+/// What a host knows about one request under which backend servers ended.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Account {
     pub(crate) fingerprint: [u8; 16],
-    /// Times that it was cleared.
+    /// Number of times that the request was cleared.
     pub(crate) generation: u32,
-    /// Processes that ended under it in this generation.
+    /// Incarnations of server processes that ended while they ran it, in this generation.
     pub(crate) ends: Vec<u64>,
-    /// Those that ended under a canary.
+    /// Those of them that ended while they ran a canary.
     pub(crate) canary_ends: Vec<u64>,
-    /// Time since something last changed where it comes from.
+    /// Time since the account last changed on the sending host, in milliseconds.
     pub(crate) age_ms: u64,
     pub(crate) stage: Stage,
 }
 
-/// How far it is decided what a request does.
+/// Quarantine state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Stage {
     Suspect,
     Quarantined {
-        /// Time until a canary may be sent; none once all have been.
+        /// Time until a canary may be sent, in milliseconds; none once all canaries have been sent.
         left_ms: Option<u64>,
         trials: u32,
     },
