--- a/crates/lentillift-gateway/benches/search.rs
+++ b/crates/lentillift-gateway/benches/search.rs
@@ -1,10 +1,10 @@
-//! Processor time that a host spends on one search of 20 and of 90 shards, callers and backend servers
-//! left out: they run on threads of their own.
+//! Processor time that a host spends on one search of 20 and of 90 shards. Callers and backend
+//! servers run on other threads and are excluded.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::Act;
+use common::Reaction;
 use criterion::Criterion;
 use lentillift_scatter::source::Item;
 use std::io::Read;
@@ -15,16 +15,16 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Starts one backend server for each shard on a thread of their own.
+/// Starts one backend server for each shard, all on one separate thread.
 fn backends(shards: usize) -> Vec<Item> {
     let (sender, addresses) = channel();
     std::thread::spawn(move || {
         common::run(async move {
             for _ in 0..shards {
-                let reply = common::whole(&"r".repeat(192));
-                let backend = common::backend(vec![Act::Write(reply)]).await;
+                let reply = common::complete_reply(&"r".repeat(192));
+                let backend = common::backend(vec![Reaction::Write(reply)]).await;
                 sender.send(backend.address).expect("the bench");
-                // What it saw is of no interest, and its end would end it.
+                // Dropping the receiver would end the server; the recorded requests are not needed.
                 std::mem::forget(backend);
             }
             std::future::pending::<()>().await;
@@ -38,7 +38,8 @@
     items
 }
 
-/// Starts a host on a thread of its own; returns where callers connect and where its time stands.
+/// Starts a host on a separate thread; returns the address for callers and the path of the thread's
+/// `schedstat`.
 fn gateway(items: Vec<Item>) -> (SocketAddr, PathBuf) {
     let (sender, started) = channel();
     std::thread::spawn(move || {
@@ -53,19 +54,19 @@
     started.recv().expect("started")
 }
 
-/// Time that a thread has run.
+/// Processor time that a thread has used.
 fn spent(times: &PathBuf) -> Duration {
     let text = std::fs::read_to_string(times).expect("times");
     let nanos = text.split(' ').next().expect("a number");
     Duration::from_nanos(nanos.parse().expect("a number"))
 }
 
-/// Asks once over a kept connection.
+/// Sends one request over a persistent connection.
 fn ask(stream: &mut TcpStream, request: &[u8]) {
     stream.write_all(request).expect("written");
     let mut answer = Vec::new();
     let mut part = [0; 16384];
-    // The merged records end the answer.
+    // The merged records come last in the answer.
     while !answer.ends_with(&[b'r'; 160]) {
         let length = stream.read(&mut part).expect("read");
         answer.extend_from_slice(&part[..length]);
--- a/crates/lentillift-gateway/tests/actions.rs
+++ b/crates/lentillift-gateway/tests/actions.rs
@@ -1,19 +1,20 @@
-//! Requests that may not be repeated, at each stage at which something could send or answer them twice.
+//! Requests that must run at most once, tested at each stage at which they could be sent or
+//! answered twice.
 
 mod common;
 
-use common::Act;
 use common::Backend;
+use common::Reaction;
 use common::ask;
 use common::backend;
+use common::complete_reply;
 use common::get;
 use common::item;
 use common::listener;
 use common::run;
 use common::serve;
-use common::singles;
+use common::single_service;
 use common::status;
-use common::whole;
 use http::Request;
 use http_body_util::Full;
 use lentillift_gateway::host::Stage;
@@ -22,97 +23,105 @@
 use lentillift_scatter::source::News;
 use std::time::Duration;
 
-/// Time that a caller waits in these tests.
+/// Time limit of the caller in these tests, in milliseconds.
 const LEFT_MS: u64 = 300;
 
-/// How often a server was asked.
-fn asked(server: &mut Backend) -> usize {
+/// Number of requests that a server received.
+fn requests(server: &mut Backend) -> usize {
     let seen = std::iter::from_fn(|| server.seen.try_recv().ok());
     seen.filter(|message| message != "closed").count()
 }
 
-fn reply(text: &str) -> Act {
-    Act::Write(whole(text))
+fn reply(text: &str) -> Reaction {
+    Reaction::Write(complete_reply(text))
 }
 
-/// A reply without a signature and with this head.
-fn head(text: &str) -> Act {
-    Act::Write(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n"))
+/// An unsigned reply with this status line and headers, and an empty body.
+fn unsigned(text: &str) -> Reaction {
+    Reaction::Write(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n"))
 }
 
-fn nothing_and_close() -> Act {
-    Act::WriteAndClose(String::new())
+fn nothing_and_close() -> Reaction {
+    Reaction::WriteAndClose(String::new())
 }
 
-fn nothing_and_reset() -> Act {
-    Act::WriteAndReset(String::new())
+fn nothing_and_reset() -> Reaction {
+    Reaction::WriteAndReset(String::new())
 }
 
-/// An action that is asked of two servers, the first of which does what the case says. The caller gets the
-/// status, and the servers were asked as often as the case allows.
+/// Sends an action while two servers are available, of which the first behaves as given. Checks the
+/// status that the caller gets, and how many requests each server received.
 macro_rules! action {
-    ($($(#[$doc:meta])* $name:ident: $first:expr => $status:expr, $asked:expr;)*) => {$(
+    ($($(#[$doc:meta])* $name:ident: $first:expr => $status:expr, $requests:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             run(async {
                 let mut first = backend(vec![$first]).await;
                 let mut second = backend(vec![reply("done")]).await;
-                let served = serve(singles(&[first.address, second.address])).await;
+                let served = serve(single_service(&[first.address, second.address])).await;
                 let request = get("/once/x", "i").replace("3000", &LEFT_MS.to_string());
                 let answer = ask(served.front, &request).await;
                 assert_eq!(status(&answer), $status, "{answer}");
-                // Whatever would be sent again is sent by then.
+                // A retry would have been sent by then.
                 tokio::time::sleep(Duration::from_millis(LEFT_MS)).await;
-                assert_eq!([asked(&mut first), asked(&mut second)], $asked);
+                assert_eq!([requests(&mut first), requests(&mut second)], $requests);
             });
         }
     )*};
 }
 
 action! {
-    done_at_once: reply("done") => 200, [1, 0];
-    /// The server took the request, and its connection ends without a byte. It may have run.
+    successful_reply: reply("done") => 200, [1, 0];
+    /// The server reads the request and closes the connection without a reply. The action may have
+    /// run.
     closed_without_a_reply: nothing_and_close() => 502, [1, 0];
-    /// The same, by a reset.
+    /// As above, but the connection is reset.
     reset_without_a_reply: nothing_and_reset() => 502, [1, 0];
-    /// The server is silent until the caller's time is over. That is no refusal: it may run yet.
-    silent_until_the_end: Act::Hang => 504, [1, 0];
-    /// The reply breaks off in the middle.
-    cut_reply: Act::WriteAndClose("HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Length: 9\r\n\r\nhalf".to_owned())
+    /// The server does not reply within the caller's time limit. That does not mean that it
+    /// rejected the action: it may still run.
+    silent_until_the_end: Reaction::Hang => 504, [1, 0];
+    /// The reply is truncated.
+    cut_reply: Reaction::WriteAndClose("HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Length: 9\r\n\r\nhalf".to_owned())
         => 502, [1, 0];
-    /// Something on the way says that the service is away, without the server's word that nothing ran.
-    unsigned_refusal: head("503 Service Unavailable") => 502, [1, 0];
-    /// The server says itself that it failed. It has run.
-    signed_failure: Act::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 0\r\n\r\n".to_owned())
+    /// An intermediary answers 503 without the header by which a server states that the action did
+    /// not run, so it may have run.
+    unsigned_refusal: unsigned("503 Service Unavailable") => 502, [1, 0];
+    /// The server itself reports a failure: the action has run.
+    signed_failure: Reaction::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 0\r\n\r\n".to_owned())
         => 500, [1, 0];
-    /// The server is full and says that nothing ran.
-    turned_away: head("503 Full\r\nx-not-run: 1") => 200, [1, 1];
-    /// The address belongs to another server by now, which ran nothing.
-    misdirected: head("421 Misdirected") => 200, [1, 1];
+    /// The server is full and states that the action did not run.
+    turned_away: unsigned("503 Full\r\nx-not-run: 1") => 200, [1, 1];
+    /// The address belongs to another server by now, which did not run the action.
+    misdirected: unsigned("421 Misdirected") => 200, [1, 1];
 }
 
-/// Nobody listens at the first server's address. Nothing was sent, so the second one runs it.
+/// The first server's port is closed, so nothing was sent, and the second server runs the action.
 #[test]
 fn unreachable() {
     run(async {
         let (closed, address) = listener().await;
         drop(closed);
         let mut second = backend(vec![reply("done")]).await;
-        let served = serve(singles(&[address, second.address])).await;
+        let served = serve(single_service(&[address, second.address])).await;
         let answer = ask(served.front, &get("/once/x", "i")).await;
         assert_eq!(status(&answer), 200);
-        assert_eq!(asked(&mut second), 1);
+        assert_eq!(requests(&mut second), 1);
     });
 }
 
-/// One server that replies once the given thing has happened to the host while it was at work.
-async fn at_work<F>(happens: F) -> String
+/// Sends an action to a server that replies after 200 ms, and calls `interfere` while the server
+/// runs it. Returns the answer.
+async fn answer_during<F>(interfere: F) -> String
 where
-    F: FnOnce(&common::Shared),
+    F: FnOnce(&common::SharedHost),
 {
-    let mut server = backend(vec![Act::Pause(Duration::from_millis(200), whole("done"))]).await;
-    let served = serve(singles(&[server.address])).await;
+    let mut server = backend(vec![Reaction::Pause(
+        Duration::from_millis(200),
+        complete_reply("done"),
+    )])
+    .await;
+    let served = serve(single_service(&[server.address])).await;
     let request = get("/once/x", "i");
     let mut answer = std::pin::pin!(ask(served.front, &request));
     let seen = tokio::select! {
@@ -120,17 +129,18 @@
         seen = server.seen.recv() => seen,
     };
     assert!(seen.is_some());
-    happens(&served.host);
+    interfere(&served.host);
     let answer = answer.await;
-    assert_eq!(asked(&mut server), 0, "it was sent again");
+    assert_eq!(requests(&mut server), 0, "it was sent again");
     answer
 }
 
-/// The host is told to end while the server is at work. The caller gets the reply, and nothing is sent again.
+/// The host shuts down while the server runs the action. The caller still gets the reply, and
+/// nothing is sent again.
 #[test]
 fn at_work_while_its_host_ends() {
     run(async {
-        let answer = at_work(|host| {
+        let answer = answer_during(|host| {
             host.stage.send_replace(Stage::Leaving);
             host.stage.send_replace(Stage::Closing);
         });
@@ -140,11 +150,11 @@
     });
 }
 
-/// The server's entry is gone while it is at work, as when it leaves without a word.
+/// The server's entry is removed while it runs the action, as when it leaves without notice.
 #[test]
 fn at_work_while_its_server_lapses() {
     run(async {
-        let answer = at_work(|host| {
+        let answer = answer_during(|host| {
             let mut gone = item("b0", String::new());
             gone.value = None;
             gone.revision = 9;
@@ -155,11 +165,11 @@
     });
 }
 
-/// A new configuration comes into force while the server is at work.
+/// A new configuration takes effect while the server runs the action.
 #[test]
 fn at_work_while_the_configuration_changes() {
     run(async {
-        let answer = at_work(|host| {
+        let answer = answer_during(|host| {
             let mut config = item("config", "s7 s8".to_owned());
             config.revision = 9;
             let items = vec![config];
@@ -169,19 +179,20 @@
     });
 }
 
-/// A server says that it leaves while the connection to it is being opened. The request was decided before
-/// and would reach it too late; nothing is written, so another server may run it.
+/// A server announces that it is leaving while the connection to it is being opened. The send was
+/// decided before, and would reach the server too late; nothing is written, so another server may
+/// run the action.
 #[test]
 fn left_while_the_connection_opened() {
     run(async {
         let mut backend = backend(vec![reply("done")]).await;
-        let served = serve(singles(&[backend.address])).await;
+        let served = serve(single_service(&[backend.address])).await;
         let view = served.host.core.borrow().view.clone().expect("a view");
         let server = &view.servers["s"][0];
         let request = Request::new(Full::default());
         let pool = &served.host.pool;
         let ended = pool.exchange(server, Kind::Once, request, || false).await;
         assert!(matches!(ended, Err(Failure::Unsent(_))), "{ended:?}");
-        assert_eq!(asked(&mut backend), 0);
+        assert_eq!(requests(&mut backend), 0);
     });
 }
--- a/crates/lentillift-gateway/tests/ages.rs
+++ b/crates/lentillift-gateway/tests/ages.rs
@@ -1,14 +1,15 @@
-//! How old a host takes its knowledge for, over ways that are late.
+//! Age of a host's published state over slow paths: it must never be underestimated.
 
 mod common;
 
-use common::Act;
 use common::Backend;
-use common::Memory;
+use common::MemorySource;
+use common::Reaction;
 use common::Served;
-use common::Shared;
+use common::SharedHost;
 use common::ask;
 use common::backend;
+use common::complete_reply;
 use common::get;
 use common::host;
 use common::introduce;
@@ -18,8 +19,7 @@
 use common::run;
 use common::serve;
 use common::serve_from;
-use common::singles;
-use common::whole;
+use common::single_service;
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Candidate;
 use lentillift_fleet::follow::Origin;
@@ -39,34 +39,34 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time between two looks at a host.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between two polls of a host.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Changes that are published, and the pause before each; it is no multiple of any time between two
-/// messages.
+/// Number of published changes, and the pause before each. The pause is not a multiple of any
+/// message interval.
 const CHANGES: u64 = 10;
 const PAUSE: Duration = Duration::from_millis(270);
 
-/// Time for which a host that does not hear of a change is watched.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time for which a host that does not receive a change is observed.
+const OBSERVATION_TIME: Duration = Duration::from_millis(500);
 
-/// How late bytes are on a way, by the time since it was opened.
+/// Delay of a proxied connection, as a function of the time since the proxy started.
 type Lag = fn(Duration) -> Duration;
 
-/// Accepts connections to `to` whose bytes are late by `lag`.
-async fn late_way(listener: TcpListener, to: SocketAddr, lag: Lag) {
+/// Proxies connections to `to`, delaying data by `lag`.
+async fn delaying_proxy(listener: TcpListener, to: SocketAddr, lag: Lag) {
     let opened = Instant::now();
     while let Ok((near, _)) = listener.accept().await {
         let far = TcpStream::connect(to).await.expect("connected");
         let (near_in, near_out) = near.into_split();
         let (far_in, far_out) = far.into_split();
-        tokio::task::spawn_local(carry(near_in, far_out, opened, lag));
-        tokio::task::spawn_local(carry(far_in, near_out, opened, lag));
+        tokio::task::spawn_local(forward_delayed(near_in, far_out, opened, lag));
+        tokio::task::spawn_local(forward_delayed(far_in, near_out, opened, lag));
     }
 }
 
-/// Carries bytes one way; none overtakes another.
-async fn carry<R, W>(mut from: R, mut to: W, opened: Instant, lag: Lag)
+/// Forwards data in one direction, in order, with a delay.
+async fn forward_delayed<R, W>(mut from: R, mut to: W, opened: Instant, lag: Lag)
 where
     R: AsyncReadExt + Unpin,
     W: AsyncWriteExt + Unpin + 'static,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A name under which a host learns from the one named `origin`.
+/// A host name whose highest-ranked origin is `origin`.
 fn follower_of(origin: &str) -> String {
     let candidate = |name: &str| Candidate {
         host: name.into(),
@@ -99,7 +99,7 @@
     let best = |name: &String| follow::order(&candidate(name), &others, follow::FAN, 0).remove(0);
     let mut names = (0..).map(|number| format!("follower-{number}"));
     let name = names.find(|name| best(name) == Origin::Host(origin.into()));
-    name.expect("some name ranks below the origin")
+    name.expect("a name that ranks below the origin")
 }
 
 fn config(revision: u64) -> Item {
@@ -109,165 +109,173 @@
     }
 }
 
-/// A host that has just read revision 1, and one that follows it over a way that is late by `lag`.
-async fn pair(lag: Lag) -> (Shared, Shared) {
+/// A host that has just read revision 1, and a follower behind a proxy that delays data by `lag`.
+async fn pair(lag: Lag) -> (SharedHost, SharedHost) {
     let (inner, inside) = listener().await;
     let (outer, outside) = listener().await;
-    let origin = host("origin", "a", outside, Memory::default());
+    let origin = host("origin", "a", outside, MemorySource::default());
     let items = vec![config(1)];
     origin.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     origin.swim.borrow_mut().serve();
     tokio::task::spawn_local(listen::serve_hosts(origin.clone(), inner));
-    tokio::task::spawn_local(late_way(outer, inside, lag));
-    let away = Memory {
-        away: true,
-        ..Memory::default()
+    tokio::task::spawn_local(delaying_proxy(outer, inside, lag));
+    let unavailable = MemorySource {
+        is_unavailable: true,
+        ..MemorySource::default()
     };
     let (_, unused) = listener().await;
-    let follower = host(&follower_of("origin"), "a", unused, away);
+    let follower = host(&follower_of("origin"), "a", unused, unavailable);
     introduce(&origin, &follower);
     tokio::task::spawn_local(feed::follow(follower.clone()));
     (origin, follower)
 }
 
-/// Has `origin` know at all times that nothing has changed.
-async fn keep_proved(origin: Shared) {
+/// Keeps verifying `origin`'s state, so that it is always fresh.
+async fn keep_verified(origin: SharedHost) {
     loop {
         origin.apply_update(None, Duration::ZERO);
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn until_known(host: &Shared, revision: u64) {
+async fn wait_for_revision(host: &SharedHost, revision: u64) {
     while host.catalog.borrow().revision() < revision {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Watches `host` until it knows of the revision that has just been published, or for a while: it must not
-/// hold what it knows for fresher than that revision.
-async fn until_heard(host: &Shared, revision: u64) {
+/// Observes `host` until it has the revision that was just published, or for a limited time. It
+/// must not consider its state fresher than that revision.
+async fn observe_until_received(host: &SharedHost, revision: u64) {
     let published = Instant::now();
-    while published.elapsed() < PATIENCE {
+    while published.elapsed() < OBSERVATION_TIME {
         let outdated = published.elapsed();
-        let age = host.age().expect("the host knows something");
+        let age = host.age().expect("the host has state");
         if host.catalog.borrow().revision() >= revision {
             return;
         }
-        assert!(age >= outdated, "{age:?}, and outdated for {outdated:?}");
-        tokio::time::sleep(LOOK).await;
+        assert!(
+            age >= outdated,
+            "age {age:?}, but outdated for {outdated:?}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A way gets later little by little, as one on which a queue builds up; each message tells an age that was
-/// true when it was written. A host that goes by that alone stays with its origin and answers callers by a
-/// configuration that was replaced seconds ago.
-macro_rules! knowledge_is_at_least_as_old_as_it_is_held_for {
+/// The delay of a path grows gradually, as when a queue builds up. Each message states an age that
+/// was correct when it was written. A follower that used that age alone would keep its origin and
+/// answer callers from a configuration that was replaced seconds ago.
+macro_rules! age_is_never_underestimated {
     ($($name:ident: $lag:expr;)*) => {$(
         #[test]
         fn $name() {
             run(async {
                 let (origin, follower) = pair($lag).await;
-                tokio::task::spawn_local(keep_proved(origin.clone()));
-                until_known(&follower, 1).await;
+                tokio::task::spawn_local(keep_verified(origin.clone()));
+                wait_for_revision(&follower, 1).await;
                 for revision in 2..=CHANGES {
                     tokio::time::sleep(PAUSE).await;
                     let items = vec![config(revision)];
                     origin.apply_update(Some(News::Changes { revision, items }), Duration::ZERO);
-                    until_heard(&follower, revision).await;
+                    observe_until_received(&follower, revision).await;
                 }
             });
         }
     )*};
 }
 
-knowledge_is_at_least_as_old_as_it_is_held_for! {
-    over_a_way_that_gets_later: |open| open / 2;
-    over_a_way_that_is_late_all_the_time: |_| Duration::from_millis(150);
-    over_a_way_that_is_late_by_turns: |open| Duration::from_millis(open.as_millis() as u64 % 700);
+age_is_never_underestimated! {
+    with_growing_delay: |open| open / 2;
+    with_constant_delay: |_| Duration::from_millis(150);
+    with_alternating_delay: |open| Duration::from_millis(open.as_millis() as u64 % 700);
 }
 
-/// Word that the service was away is late on its way. Taken for younger than it is, it hides that entries of
-/// backend servers lapsed after the service had come back, and servers that are gone are asked.
+/// The report that the service was unavailable is delayed. If its age were underestimated, entries
+/// of backend servers would appear to have lapsed before the service came back, and servers that
+/// are gone would be used.
 #[test]
-fn word_that_the_service_was_away_is_as_old_as_its_way() {
+fn outage_report_includes_transit_time() {
     run(async {
         let (origin, follower) = pair(|_| Duration::from_millis(150)).await;
-        tokio::task::spawn_local(keep_proved(origin.clone()));
-        until_known(&follower, 1).await;
+        tokio::task::spawn_local(keep_verified(origin.clone()));
+        wait_for_revision(&follower, 1).await;
         origin.record_outage(Duration::ZERO);
-        let back = Instant::now();
-        let mut looks = 0;
-        while looks < 50 {
-            let outdated = back.elapsed();
+        let recovered = Instant::now();
+        let mut polls = 0;
+        while polls < 50 {
+            let outdated = recovered.elapsed();
             if let Some(away) = follower.time_since_outage() {
-                assert!(away >= outdated, "{away:?}, and back for {outdated:?}");
-                looks += 1;
+                assert!(
+                    away >= outdated,
+                    "outage {away:?} ago, but the service recovered {outdated:?} ago"
+                );
+                polls += 1;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
 }
 
-/// An answer of the service that nothing has changed waits before its first byte arrives. A host that takes it
-/// for fresh holds what was published meanwhile for not published.
+/// A "no change" response of the service is delayed before its first byte arrives. A host that
+/// treats it as fresh takes state published meanwhile for not published.
 #[test]
-fn a_late_answer_of_the_service_is_not_fresh() {
+fn a_delayed_response_of_the_service_is_not_fresh() {
     run(async {
-        let source = Memory {
+        let source = MemorySource {
             items: vec![config(1)],
             lag: Duration::from_millis(400),
-            ..Memory::default()
+            ..MemorySource::default()
         };
-        let left = Rc::clone(&source.left);
+        let last_response = Rc::clone(&source.last_response);
         let (_, unused) = listener().await;
         let reader = host("reader", "a", unused, source);
         tokio::task::spawn_local(feed::follow(reader.clone()));
-        until_known(&reader, 1).await;
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(4) {
-            if let Some(left) = left.get() {
-                let outdated = left.elapsed();
-                let age = reader.age().expect("the reader knows something");
+        wait_for_revision(&reader, 1).await;
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_secs(4) {
+            if let Some(sent_at) = last_response.get() {
+                let outdated = sent_at.elapsed();
+                let age = reader.age().expect("the reader has state");
                 assert!(
                     age >= outdated,
-                    "{age:?}, and the answer left {outdated:?} ago"
+                    "age {age:?}, but the response was sent {outdated:?} ago"
                 );
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     });
 }
 
-/// A host that knows of the first of two backend servers, and has heard nothing for longer than news may take.
-async fn outdated() -> (Served, Backend, Backend) {
-    let first = backend(vec![Act::Write(whole("first"))]).await;
-    let second = backend(vec![Act::Write(whole("second"))]).await;
-    let served = serve(singles(&[first.address])).await;
-    tokio::time::sleep(served.host.freshness.bound + LOOK).await;
+/// A host that has only the first of two backend servers, and no update for longer than the
+/// freshness bound.
+async fn outdated_host() -> (Served, Backend, Backend) {
+    let first = backend(vec![Reaction::Write(complete_reply("first"))]).await;
+    let second = backend(vec![Reaction::Write(complete_reply("second"))]).await;
+    let served = serve(single_service(&[first.address])).await;
+    tokio::time::sleep(served.host.freshness.bound + POLL_INTERVAL).await;
     (served, first, second)
 }
 
-/// What a host that stood still missed: its server has left, and another one has taken its place.
-fn missed(second: &Backend) -> News {
+/// The update that a frozen host missed: its server has left, and another one has replaced it.
+fn missed_update(second: &Backend) -> News {
     let entry = format!("s {} a", second.address);
     let left = Item {
         revision: 2,
         value: None,
         ..item("b0", String::new())
     };
-    let came = Item {
+    let joined = Item {
         revision: 2,
         ..item("b1", entry)
     };
     News::Changes {
         revision: 2,
-        items: vec![left, came],
+        items: vec![left, joined],
     }
 }
 
-/// The answer to a request that comes shortly before the news.
-async fn ask_before_news(served: &Served, news: News) -> String {
+/// Sends a request shortly before an update; returns the answer.
+async fn ask_before_update(served: &Served, news: News) -> String {
     let front = served.front;
     let answer = tokio::task::spawn_local(async move { ask(front, &get("/one/x", "i")).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -275,30 +283,31 @@
     answer.await.expect("an answer")
 }
 
-/// A process stands still for longer than news may take. When it runs again, requests wait in its sockets beside
-/// the news that it missed; answered first, they go by what was replaced meanwhile.
+/// A process freezes for longer than the freshness bound. When it resumes, requests wait in its
+/// sockets next to the update that it missed; served first, they would use state that was replaced
+/// meanwhile.
 #[test]
-fn a_host_that_stood_still_hears_the_news_before_it_serves() {
+fn a_resumed_host_applies_updates_before_serving() {
     run(async {
-        let (served, _first, second) = outdated().await;
-        let answer = ask_before_news(&served, missed(&second)).await;
+        let (served, _first, second) = outdated_host().await;
+        let answer = ask_before_update(&served, missed_update(&second)).await;
         assert!(answer.ends_with("second"), "{answer}");
     });
 }
 
-/// The reader of the service stood still, and a call of its own timed out meanwhile. Taken for a service that is away,
-/// this had it serve by what it knew.
+/// The host that reads the service freezes, and a call of its own times out meanwhile. Treated as
+/// an outage of the service, this made it serve from old state.
 #[test]
-fn a_call_that_timed_out_while_the_host_stood_still_is_made_again() {
+fn a_call_that_timed_out_during_a_freeze_is_retried() {
     run(async {
-        let first = backend(vec![Act::Write(whole("first"))]).await;
-        let second = backend(vec![Act::Write(whole("second"))]).await;
-        let source = Memory {
+        let first = backend(vec![Reaction::Write(complete_reply("first"))]).await;
+        let second = backend(vec![Reaction::Write(complete_reply("second"))]).await;
+        let source = MemorySource {
             is_silent: Rc::new(Cell::new(true)),
-            news: Rc::new(RefCell::new(Some(missed(&second)))),
-            ..Memory::default()
+            news: Rc::new(RefCell::new(Some(missed_update(&second)))),
+            ..MemorySource::default()
         };
-        let served = serve_from(singles(&[first.address]), source).await;
+        let served = serve_from(single_service(&[first.address]), source).await;
         tokio::task::spawn_local(feed::follow(served.host.clone()));
         let is_outdated = || {
             served
@@ -307,41 +316,42 @@
                 .is_some_and(|age| age > served.host.freshness.bound)
         };
         while !is_outdated() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let answer = ask(served.front, &get("/one/x", "i")).await;
         assert!(answer.ends_with("second"), "{answer}");
     });
 }
 
-/// The service is away for all. Nobody can know more, and callers are served by what there is, without a wait.
+/// The service is unavailable to all hosts. No newer state can be obtained, so callers are served
+/// from the existing one without delay.
 #[test]
-fn a_host_serves_by_old_knowledge_while_the_service_is_away() {
+fn a_host_serves_old_state_while_the_service_is_unavailable() {
     run(async {
-        let (served, _first, second) = outdated().await;
+        let (served, _first, second) = outdated_host().await;
         served.host.record_outage(Duration::ZERO);
-        let answer = ask_before_news(&served, missed(&second)).await;
+        let answer = ask_before_update(&served, missed_update(&second)).await;
         assert!(answer.ends_with("first"), "{answer}");
     });
 }
 
-/// A host is cut off from all that could tell it news. Its callers are served by what it knows.
+/// A host is cut off from all origins. Its callers are served from the state that it has.
 #[test]
-fn a_host_that_hears_no_news_serves_by_what_it_knows() {
+fn an_isolated_host_serves_from_its_state() {
     run(async {
-        let (served, _first, _second) = outdated().await;
+        let (served, _first, _second) = outdated_host().await;
         let answer = ask(served.front, &get("/one/x", "i")).await;
         assert!(answer.ends_with("first"), "{answer}");
     });
 }
 
-/// A caller sends the body of its search slowly, and meanwhile the index is cut anew. The search went to the shards of
-/// the time when its head came.
+/// A caller sends the body of its search slowly, and the index is resharded meanwhile. The search
+/// used to go to the shards that were current when its head arrived.
 #[test]
-fn a_search_goes_to_the_shards_of_the_time_when_it_is_complete() {
+fn a_search_uses_the_shards_current_when_its_body_is_complete() {
     run(async {
-        let old = backend(vec![Act::Write(whole("old old old old!"))]).await;
-        let new = backend(vec![Act::Write(whole("new new new new!"))]).await;
+        let old = backend(vec![Reaction::Write(complete_reply("old old old old!"))]).await;
+        let new = backend(vec![Reaction::Write(complete_reply("new new new new!"))]).await;
         let published = |shard: &str, server: &Backend, revision: u64| {
             let entry = format!("{shard} {} a", server.address);
             let items = [
--- a/crates/lentillift-gateway/tests/common/crashing.rs
+++ b/crates/lentillift-gateway/tests/common/crashing.rs
@@ -1,9 +1,9 @@
-//! Backend servers that some requests end.
+//! Backend servers that crash on certain requests.
 
+use super::complete_reply;
 use super::get_path;
 use super::header;
 use super::read_message;
-use super::whole;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,90 +13,91 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Last part of the path of a request that ends each server which begins to run it.
+/// Last path segment of requests that crash each server which starts to run them.
 pub const FATAL: &str = "fatal";
 
-/// How a fragile backend server behaves.
+/// Behaviour of a crashing backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Nature {
-    /// Letter of its record.
+pub struct Behavior {
+    /// Letter that fills its record.
     pub letter: char,
-    /// Time that a run takes.
+    /// Time to run a request.
     pub work: Duration,
-    /// Time from the beginning of a run that ends it to its end.
-    pub until_end: Duration,
-    /// Time until it is back.
-    pub rest: Duration,
+    /// Time from the start of a fatal request until the server crashes.
+    pub crash_after: Duration,
+    /// Time until it restarts.
+    pub restart_after: Duration,
 }
 
-impl Nature {
-    /// One that replies and ends at once and is back at once.
+impl Behavior {
+    /// A server that replies and crashes without delay, and restarts after 20 ms.
     pub fn quick(letter: char) -> Self {
         Self {
             letter,
             work: Duration::ZERO,
-            until_end: Duration::ZERO,
-            rest: Duration::from_millis(20),
+            crash_after: Duration::ZERO,
+            restart_after: Duration::from_millis(20),
         }
     }
 }
 
-/// A backend server that ends when it begins to run a request for [`FATAL`], and comes back.
+/// A backend server that crashes when it starts to run a request for [`FATAL`], and restarts.
 #[derive(Debug, Clone)]
-pub struct Fragile {
+pub struct CrashingServer {
     pub address: SocketAddr,
     state: Rc<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    ends: Cell<u32>,
+    crashes: Cell<u32>,
     fatal: Cell<u32>,
     up: Cell<bool>,
 }
 
-impl Fragile {
-    /// Starts one.
-    pub async fn start(nature: Nature) -> Self {
-        // Never listens: it holds the port while the server is away, and connections are refused.
-        let holder = bound(([127, 0, 0, 1], 0).into());
-        let address = holder.local_addr().expect("an address");
-        let fragile = Self {
+impl CrashingServer {
+    /// Starts a server on a free port.
+    pub async fn start(behavior: Behavior) -> Self {
+        // Never listens; reserves the port while the server is down, so that connections are
+        // refused.
+        let reservation = bind(([127, 0, 0, 1], 0).into());
+        let address = reservation.local_addr().expect("an address");
+        let server = Self {
             address,
             state: Rc::default(),
         };
-        let lives = fragile.clone();
-        lives.state.up.set(true);
-        let mut listener = bound(address).listen(1024).expect("listening");
+        let runner = server.clone();
+        runner.state.up.set(true);
+        let mut listener = bind(address).listen(1024).expect("listening");
         tokio::task::spawn_local(async move {
-            let _holder = holder;
+            let _reservation = reservation;
             loop {
-                lives.live(listener, nature).await;
-                tokio::time::sleep(nature.rest).await;
-                listener = bound(address).listen(1024).expect("listening");
-                lives.state.up.set(true);
+                runner.serve_until_crash(listener, behavior).await;
+                tokio::time::sleep(behavior.restart_after).await;
+                listener = bind(address).listen(1024).expect("listening");
+                runner.state.up.set(true);
             }
         });
-        fragile
+        server
     }
 
-    /// Times that it ended.
-    pub fn ends(&self) -> u32 {
-        self.state.ends.get()
+    /// Number of crashes.
+    pub fn crashes(&self) -> u32 {
+        self.state.crashes.get()
     }
 
-    /// Requests that reached it and end servers.
+    /// Number of fatal requests that reached it.
     pub fn fatal(&self) -> u32 {
         self.state.fatal.get()
     }
 
-    /// Whether it listens.
+    /// Whether it is listening.
     pub fn is_up(&self) -> bool {
         self.state.up.get()
     }
 
-    /// Serves until a request ends it.
-    async fn live(&self, listener: tokio::net::TcpListener, nature: Nature) {
+    /// Serves until a request crashes it.
+    async fn serve_until_crash(&self, listener: tokio::net::TcpListener, behavior: Behavior) {
         let ended = watch::Sender::new(false);
         let mut over = ended.subscribe();
         loop {
@@ -104,39 +105,44 @@
                 accepted = listener.accept() => accepted.expect("accepted").0,
                 _ = over.wait_for(|over| *over) => break,
             };
-            let talk = talk(stream, nature, self.state.clone(), ended.clone());
+            let connection = serve_connection(stream, behavior, self.state.clone(), ended.clone());
             let mut over = ended.subscribe();
             tokio::task::spawn_local(async move {
                 tokio::select! {
-                    () = talk => {}
+                    () = connection => {}
                     _ = over.wait_for(|over| *over) => {}
                 }
             });
         }
-        self.state.ends.set(self.state.ends.get() + 1);
+        self.state.crashes.set(self.state.crashes.get() + 1);
         self.state.up.set(false);
     }
 }
 
-async fn talk(mut stream: TcpStream, nature: Nature, state: Rc<State>, ended: watch::Sender<bool>) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    behavior: Behavior,
+    state: Rc<State>,
+    ended: watch::Sender<bool>,
+) {
     while let Some(request) = read_message(&mut stream).await {
         if get_path(&request).ends_with(FATAL) {
             state.fatal.set(state.fatal.get() + 1);
-            tokio::time::sleep(nature.until_end).await;
+            tokio::time::sleep(behavior.crash_after).await;
             ended.send_replace(true);
             return;
         }
-        tokio::time::sleep(nature.work).await;
+        tokio::time::sleep(behavior.work).await;
         let id = header(&request, "x-id").unwrap_or_default();
-        let body = nature.letter.to_string().repeat(16);
-        let reply = whole(&body).replace("ID", &id);
+        let body = behavior.letter.to_string().repeat(16);
+        let reply = complete_reply(&body).replace("ID", &id);
         if stream.write_all(reply.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-fn bound(address: SocketAddr) -> TcpSocket {
+fn bind(address: SocketAddr) -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("reused");
     socket.bind(address).expect("a port");
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A process's tasks over loopback, with scripted backend servers and published state in memory.
+//! Test fixtures: a process's tasks over loopback, scripted backend servers, and published state in
+//! memory.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -57,16 +58,16 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Headers of these tests: `x-id`, `x-left`, `x-backend`, `x-signature`, `x-not-run`, `x-parts` and
-/// `x-missing`.
+/// Protocol of these tests, with headers `x-id`, `x-left`, `x-backend`, `x-signature`, `x-not-run`,
+/// `x-parts` and `x-missing`.
 #[derive(Debug, Clone, Copy)]
-pub struct Plain;
+pub struct TestDialect;
 
 fn text(headers: &HeaderMap, name: &str) -> Option<Box<str>> {
     Some(headers.get(name)?.to_str().ok()?.into())
 }
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     fn parse_request(&self, head: &request::Parts) -> RequestInfo {
         let left = text(&head.headers, "x-left").and_then(|ms| ms.parse().ok());
         RequestInfo {
@@ -101,43 +102,43 @@
     }
 }
 
-/// Published state in memory: the value of key `config` is the list of its shards, that of any other
-/// key `service address domain`.
+/// Published state in memory. The value of key `config` lists the shards; that of any other key is
+/// `service address domain`.
 #[derive(Debug, Default, Clone)]
-pub struct Memory {
+pub struct MemorySource {
     pub items: Vec<Item>,
-    /// Whether it turns this host away.
-    pub away: bool,
-    /// How long an answer is on its way.
+    /// Whether it refuses all requests.
+    pub is_unavailable: bool,
+    /// Transit time of a response.
     pub lag: Duration,
-    /// When the last answer left.
-    pub left: Rc<Cell<Option<Instant>>>,
-    /// Whether the next watch is never answered.
+    /// When the last response was sent.
+    pub last_response: Rc<Cell<Option<Instant>>>,
+    /// Whether the next watch gets no response.
     pub is_silent: Rc<Cell<bool>>,
-    /// What the next watch that is answered tells.
+    /// Update that the next answered watch returns.
     pub news: Rc<RefCell<Option<News>>>,
 }
 
-impl Memory {
-    /// An answer leaves now, and arrives when this returns.
-    async fn leave(&self) {
-        self.left.set(Some(Instant::now()));
+impl MemorySource {
+    /// Records that a response is sent now, and waits until it arrives.
+    async fn send_response(&self) {
+        self.last_response.set(Some(Instant::now()));
         tokio::time::sleep(self.lag).await;
     }
 
-    fn turn_away(&self) -> Result<()> {
-        match self.away {
-            true => Err(Error::new(Step::Read, "service", "turned away")),
+    fn check_available(&self) -> Result<()> {
+        match self.is_unavailable {
+            true => Err(Error::new(Step::Read, "service", "unavailable")),
             false => Ok(()),
         }
     }
 }
 
-impl Source for Memory {
+impl Source for MemorySource {
     async fn read(&self, _silence: Duration) -> Result<News> {
-        self.turn_away()?;
+        self.check_available()?;
         let items = self.items.clone();
-        self.leave().await;
+        self.send_response().await;
         Ok(News::All { revision: 1, items })
     }
 
@@ -147,7 +148,7 @@
         wait: Duration,
         _silence: Duration,
     ) -> Result<WatchResult> {
-        self.turn_away()?;
+        self.check_available()?;
         if self.is_silent.replace(false) {
             std::future::pending::<()>().await;
         }
@@ -155,7 +156,7 @@
             return Ok(WatchResult::Changes(news));
         }
         tokio::time::sleep(wait).await;
-        self.leave().await;
+        self.send_response().await;
         Ok(WatchResult::Changes(News::Changes {
             revision: after,
             items: Vec::new(),
@@ -196,7 +197,8 @@
     }
 }
 
-/// Routes `/one/` (idempotent) and `/once/` to service `s`, and `/all/` to all shards.
+/// Routes `/one/` (idempotent) and `/once/` (at most once) to service `s`, and `/all/` to all
+/// shards.
 fn config(shards: &[&str]) -> Config {
     let single = || {
         let service = "s".into();
@@ -227,20 +229,20 @@
     Config::new(1, routes, services, limits)
 }
 
-/// Connections of callers at a time.
-pub const MOST_CALLERS: usize = 3;
+/// Maximum number of concurrent caller connections.
+pub const MAX_CALLERS: usize = 3;
 
-pub type Shared = Rc<Host<Plain, Memory>>;
+pub type SharedHost = Rc<Host<TestDialect, MemorySource>>;
 
-/// A process's host named `name` in `domain`, whose other hosts listen at `node`.
-pub fn host(name: &str, domain: &str, node: SocketAddr, source: Memory) -> Shared {
+/// State of a process named `name` in `domain`, which other hosts reach at `node`.
+pub fn host(name: &str, domain: &str, node: SocketAddr, source: MemorySource) -> SharedHost {
     let unused = ([127, 0, 0, 1], 0).into();
     let settings = Settings {
         name: name.into(),
         domain: domain.into(),
         regions: BTreeMap::from([("a".into(), "r".into()), ("b".into(), "r".into())]),
         front: unused,
-        max_callers: MOST_CALLERS,
+        max_callers: MAX_CALLERS,
         ready: unused,
         node,
         inbound: node,
@@ -248,7 +250,7 @@
         tuning: Tuning {
             seeds: Vec::new(),
             options: Options {
-                // A process that has just started would have no budget for a second send.
+                // Otherwise a process that has just started would have no budget for a second send.
                 budget: budget::Options {
                     ratio: 5.0,
                     extra: 0,
@@ -260,42 +262,42 @@
         freshness: follow::Options::default(),
         grace: Duration::from_secs(5),
     };
-    daemon::new_host(&settings, Plain, source)
+    daemon::new_host(&settings, TestDialect, source)
 }
 
-/// A listener on a port that the system gives.
+/// A listener on a free port.
 pub async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// A served host and where its callers connect.
+/// A host that serves callers, and the address for them.
 pub struct Served {
-    pub host: Shared,
+    pub host: SharedHost,
     pub front: SocketAddr,
 }
 
-/// Serves callers by `items`, which may be none yet.
+/// Starts a host that serves callers from `items`; with none, it has no configuration yet.
 pub async fn serve(items: Vec<Item>) -> Served {
-    serve_from(items, Memory::default()).await
+    serve_from(items, MemorySource::default()).await
 }
 
-/// The same with a source to read.
-pub async fn serve_from(items: Vec<Item>, source: Memory) -> Served {
+/// As [`serve`], with a source of published state.
+pub async fn serve_from(items: Vec<Item>, source: MemorySource) -> Served {
     let (listener, front) = listener().await;
     let host = host("h", "a", front, source);
     if !items.is_empty() {
         host.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     }
-    tokio::task::spawn_local(front::serve(host.clone(), listener, MOST_CALLERS));
+    tokio::task::spawn_local(front::serve(host.clone(), listener, MAX_CALLERS));
     Served { host, front }
 }
 
-/// A host whose other hosts are served.
-pub async fn start(name: &str, domain: &str, items: Vec<Item>) -> Shared {
+/// Starts a host that serves other hosts.
+pub async fn start(name: &str, domain: &str, items: Vec<Item>) -> SharedHost {
     let (listener, node) = listener().await;
-    let host = host(name, domain, node, Memory::default());
+    let host = host(name, domain, node, MemorySource::default());
     if !items.is_empty() {
         host.apply_update(Some(News::All { revision: 1, items }), Duration::ZERO);
     }
@@ -305,8 +307,8 @@
     host
 }
 
-/// Makes `host` known to `to`.
-pub fn introduce(host: &Shared, to: &Shared) {
+/// Adds `host` to the membership of `to`.
+pub fn introduce(host: &SharedHost, to: &SharedHost) {
     let from = host.swim.borrow().own().clone();
     let packet = Packet {
         from,
@@ -321,9 +323,9 @@
     to.update_hosts();
 }
 
-pub async fn front(host: &Shared) -> SocketAddr {
+pub async fn front(host: &SharedHost) -> SocketAddr {
     let (listener, address) = listener().await;
-    tokio::task::spawn_local(front::serve(host.clone(), listener, MOST_CALLERS));
+    tokio::task::spawn_local(front::serve(host.clone(), listener, MAX_CALLERS));
     address
 }
 
@@ -335,8 +337,8 @@
     }
 }
 
-/// Service `s` with these backend servers.
-pub fn singles(addresses: &[SocketAddr]) -> Vec<Item> {
+/// A configuration of service `s` with these backend servers.
+pub fn single_service(addresses: &[SocketAddr]) -> Vec<Item> {
     let mut items = vec![item("config", String::new())];
     for (n, address) in addresses.iter().enumerate() {
         items.push(item(&format!("b{n}"), format!("s {address} a")));
@@ -344,83 +346,83 @@
     items
 }
 
-/// What a scripted backend server does with a request.
+/// Reaction of a scripted backend server to a request.
 #[derive(Debug, Clone)]
-pub enum Act {
-    /// Writes these bytes, `ID` replaced by the request's id, and keeps the connection.
+pub enum Reaction {
+    /// Writes this reply, with `ID` replaced by the request's id, and keeps the connection open.
     Write(String),
-    /// Writes them and closes the connection.
+    /// Writes the reply and closes the connection.
     WriteAndClose(String),
-    /// Writes them and resets the connection.
+    /// Writes the reply and resets the connection.
     WriteAndReset(String),
-    /// Writes them after a while and keeps the connection.
+    /// Writes the reply after a delay and keeps the connection open.
     Pause(Duration, String),
-    /// Writes nothing.
+    /// Does not reply.
     Hang,
 }
 
 /// A scripted backend server.
 pub struct Backend {
     pub address: SocketAddr,
-    /// Requests that it read, as text; `closed` when a connection ends.
+    /// Requests that it received, as text; `closed` when a connection ends.
     pub seen: mpsc::UnboundedReceiver<String>,
 }
 
-/// Starts a backend server that does `acts` with its requests, one after the other over all
-/// connections, and the last of them over and over.
-pub async fn backend(acts: Vec<Act>) -> Backend {
+/// Starts a backend server that applies `reactions` to its requests in order, across all connections,
+/// and repeats the last one.
+pub async fn backend(reactions: Vec<Reaction>) -> Backend {
     let (listener, address) = listener().await;
     let (sender, seen) = mpsc::unbounded_channel();
-    let acts = Rc::new(std::cell::RefCell::new(acts));
+    let reactions = Rc::new(std::cell::RefCell::new(reactions));
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::task::spawn_local(talk(stream, acts.clone(), sender.clone()));
+            tokio::task::spawn_local(serve_connection(stream, reactions.clone(), sender.clone()));
         }
     });
     Backend { address, seen }
 }
 
-async fn talk(
+async fn serve_connection(
     mut stream: TcpStream,
-    acts: Rc<std::cell::RefCell<Vec<Act>>>,
+    reactions: Rc<std::cell::RefCell<Vec<Reaction>>>,
     seen: mpsc::UnboundedSender<String>,
 ) {
     while let Some(request) = read_message(&mut stream).await {
         let id = header(&request, "x-id").unwrap_or_default();
         let _ = seen.send(request);
-        let act = {
-            let mut acts = acts.borrow_mut();
-            match acts.len() {
-                0 | 1 => acts.first().cloned().unwrap_or(Act::Hang),
-                _ => acts.remove(0),
+        let reaction = {
+            let mut reactions = reactions.borrow_mut();
+            match reactions.len() {
+                0 | 1 => reactions.first().cloned().unwrap_or(Reaction::Hang),
+                _ => reactions.remove(0),
             }
         };
         let bytes = |text: &str| text.replace("ID", &id).into_bytes();
-        match act {
-            Act::Write(text) => stream.write_all(&bytes(&text)).await.expect("written"),
-            Act::WriteAndClose(text) => {
+        match reaction {
+            Reaction::Write(text) => stream.write_all(&bytes(&text)).await.expect("written"),
+            Reaction::WriteAndClose(text) => {
                 stream.write_all(&bytes(&text)).await.expect("written");
                 return;
             }
-            Act::WriteAndReset(text) => {
+            Reaction::WriteAndReset(text) => {
                 stream.write_all(&bytes(&text)).await.expect("written");
-                // What was written must be read before the reset overtakes it.
+                // The reply must be read before the reset discards it.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 let socket = socket2::SockRef::from(&stream);
                 socket.set_linger(Some(Duration::ZERO)).expect("linger");
                 return;
             }
-            Act::Pause(pause, text) => {
+            Reaction::Pause(pause, text) => {
                 tokio::time::sleep(pause).await;
                 stream.write_all(&bytes(&text)).await.expect("written");
             }
-            Act::Hang => {}
+            Reaction::Hang => {}
         }
     }
     let _ = seen.send("closed".to_owned());
 }
 
-/// Reads one message with its body by length or in chunks; none at the end of the connection.
+/// Reads one HTTP message with its body, by length or in chunks; none at the end of the connection.
 pub async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -445,12 +447,12 @@
     Some(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// The path of a request.
+/// Path of a request.
 pub fn get_path(request: &str) -> &str {
     request.split(' ').nth(1).unwrap_or_default()
 }
 
-/// The value of a header in a message.
+/// Value of a header in a message.
 pub fn header(message: &str, name: &str) -> Option<String> {
     let lines = message.lines().take_while(|line| !line.is_empty());
     let mut fields = lines.filter_map(|line| line.split_once(':'));
@@ -458,7 +460,7 @@
     found.map(|(_, value)| value.trim().to_owned())
 }
 
-/// Sends a request over its own connection and reads the whole answer.
+/// Sends a request over a new connection and reads the complete answer.
 pub async fn ask(front: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(front).await.expect("connected");
     stream.write_all(request.as_bytes()).await.expect("written");
@@ -470,14 +472,14 @@
     format!("GET {path} HTTP/1.1\r\nHost: search.example\r\nx-id: {id}\r\nx-left: 3000\r\n\r\n")
 }
 
-/// The status of an answer.
+/// Status code of an answer.
 pub fn status(answer: &str) -> u16 {
     let word = answer.split(' ').nth(1).expect("a status");
     word.parse().expect("a number")
 }
 
-/// A whole reply with this body.
-pub fn whole(body: &str) -> String {
+/// A complete, signed reply with this body.
+pub fn complete_reply(body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 200 OK\r\nx-signature: sig-ID\r\nx-id: ID\r\nContent-Length: {length}\r\n\r\n{body}"
@@ -491,11 +493,11 @@
 {
     let runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = { runtime }.enable_all().build().expect("a runtime");
-    // A test that waits for what never comes should say so; nothing is measured by it.
-    let bounded = async { tokio::time::timeout(LONGEST, test).await };
+    // Fails a test that waits for something that never happens.
+    let bounded = async { tokio::time::timeout(TEST_TIMEOUT, test).await };
     let ended = tokio::task::LocalSet::new().block_on(&runtime, bounded);
-    assert!(ended.is_ok(), "waited in vain");
+    assert!(ended.is_ok(), "test timed out");
 }
 
-/// Longest time of a test, many times what any takes.
-const LONGEST: Duration = Duration::from_secs(120);
+/// Time limit of a test, many times what any test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
--- a/crates/lentillift-gateway/tests/fatal.rs
+++ b/crates/lentillift-gateway/tests/fatal.rs
@@ -1,14 +1,14 @@
-//! Requests that end each backend server which begins to run them.
+//! Requests that crash each backend server which starts to run them.
 
 mod common;
 
-use common::Act;
-use common::Shared;
+use common::Reaction;
+use common::SharedHost;
 use common::ask;
 use common::backend;
+use common::crashing::Behavior;
+use common::crashing::CrashingServer;
 use common::crashing::FATAL;
-use common::crashing::Fragile;
-use common::crashing::Nature;
 use common::front;
 use common::get;
 use common::header;
@@ -17,7 +17,7 @@
 use common::listener;
 use common::run;
 use common::serve;
-use common::singles;
+use common::single_service;
 use common::start;
 use common::status;
 use lentillift_fleet::quarantine::State;
@@ -27,23 +27,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often something that will come about is looked for, and the pause in between.
-const LOOKS: usize = 2000;
+/// Number of polls for an expected condition, and the pause between them.
+const POLLS: usize = 2000;
 const PAUSE: Duration = Duration::from_millis(2);
 
-/// Shards of a search; each has a replica in either failure domain.
+/// Shards of a search; each has a replica in both failure domains.
 const SHARDS: usize = 6;
 
-/// Hosts, of both failure domains.
+/// Names and failure domains of the hosts.
 const HOSTS: [(&str, &str); 3] = [("h0", "a"), ("h1", "b"), ("h2", "a")];
 
-/// Sends of a request that had ended three servers which all hosts together may still make.
-const MOST_SENDS: usize = 3;
+/// Sends of a request that all hosts together may still make after it crashed three servers.
+const MAX_SENDS: usize = 3;
 
-/// Hosts that know each other, and backend servers that some requests end.
+/// Hosts that know each other, and backend servers that crash on certain requests.
 struct Fleet {
-    servers: Vec<Fragile>,
-    hosts: Vec<Shared>,
+    servers: Vec<CrashingServer>,
+    hosts: Vec<SharedHost>,
     fronts: Vec<SocketAddr>,
     attempts: usize,
 }
@@ -55,7 +55,7 @@
         for shard in 0..SHARDS {
             for domain in ["a", "b"] {
                 let letter = char::from(b'a' + shard as u8);
-                let server = Fragile::start(Nature::quick(letter)).await;
+                let server = CrashingServer::start(Behavior::quick(letter)).await;
                 let value = format!("s{shard} {} {domain}", server.address);
                 items.push(item(&format!("b{shard}{domain}"), value));
                 servers.push(server);
@@ -81,47 +81,47 @@
         }
     }
 
-    /// Asks for `path` at a host once all servers are up.
+    /// Requests `path` from a host once all servers are up.
     async fn ask(&mut self, host: usize, path: &str) -> String {
-        let is_up = || self.servers.iter().all(Fragile::is_up);
-        until("all servers are up", is_up).await;
+        let is_up = || self.servers.iter().all(CrashingServer::is_up);
+        wait_until("all servers are up", is_up).await;
         self.attempts += 1;
         let id = format!("i{}", self.attempts);
         ask(self.fronts[host], &get(path, &id)).await
     }
 
-    /// Requests that reached servers and end them.
+    /// Number of fatal requests that reached servers.
     fn fatal(&self) -> u32 {
-        self.servers.iter().map(Fragile::fatal).sum()
+        self.servers.iter().map(CrashingServer::fatal).sum()
     }
 
-    /// Times that servers ended.
-    fn ends(&self) -> u32 {
-        self.servers.iter().map(Fragile::ends).sum()
+    /// Number of server crashes.
+    fn crashes(&self) -> u32 {
+        self.servers.iter().map(CrashingServer::crashes).sum()
     }
 }
 
-/// Configuration with these shards.
+/// Configuration with [`SHARDS`] shards.
 fn config() -> Item {
     let shards: Vec<String> = (0..SHARDS).map(|shard| format!("s{shard}")).collect();
     item("config", shards.join(" "))
 }
 
-/// Waits until `seen` says yes.
-async fn until<F>(what: &str, seen: F)
+/// Waits until `condition` holds.
+async fn wait_until<F>(what: &str, condition: F)
 where
     F: Fn() -> bool,
 {
-    for _ in 0..LOOKS {
-        if seen() {
+    for _ in 0..POLLS {
+        if condition() {
             return;
         }
         tokio::time::sleep(PAUSE).await;
     }
-    panic!("never: {what}");
+    panic!("never happened: {what}");
 }
 
-fn ended(host: &Shared) -> u64 {
+fn servers_ended(host: &SharedHost) -> u64 {
     let text = host.metrics.render(host.now());
     let line = text
         .lines()
@@ -132,36 +132,37 @@
     })
 }
 
-/// A server that ended looks like one that lost a reply, and nobody finds the request that ended it.
+/// A crashed server looks like one whose reply was lost, so the request that crashed it goes
+/// undetected.
 #[test]
-fn an_ended_server_is_told_from_a_lost_reply() {
+fn a_crashed_server_is_distinguished_from_a_lost_reply() {
     run(async {
-        let lossy = backend(vec![Act::WriteAndClose(String::new())]).await;
-        let served = serve(singles(&[lossy.address])).await;
+        let lossy = backend(vec![Reaction::WriteAndClose(String::new())]).await;
+        let served = serve(single_service(&[lossy.address])).await;
         ask(served.front, &get("/once/x", "i1")).await;
-        assert_eq!(ended(&served.host), 0);
-        let fragile = Fragile::start(Nature::quick('a')).await;
-        let served = serve(singles(&[fragile.address])).await;
+        assert_eq!(servers_ended(&served.host), 0);
+        let server = CrashingServer::start(Behavior::quick('a')).await;
+        let served = serve(single_service(&[server.address])).await;
         ask(served.front, &get(&format!("/once/{FATAL}"), "i2")).await;
-        assert_eq!(ended(&served.host), 1);
+        assert_eq!(servers_ended(&served.host), 1);
     });
 }
 
-/// One search ends every server of every shard, at whichever host it is asked again.
+/// One search crashes every server of every shard, whichever host its caller retries at.
 #[test]
-fn a_search_that_ends_servers_is_stopped_at_all_hosts() {
+fn a_search_that_crashes_servers_is_stopped_at_all_hosts() {
     run(async {
         let mut fleet = Fleet::start().await;
         let path = format!("/all/{FATAL}");
         let mut sends = 0;
         for attempt in 0..12 {
-            let (before, had_ended) = (fleet.fatal(), fleet.ends());
+            let (before, crashes_before) = (fleet.fatal(), fleet.crashes());
             fleet.ask(attempt % HOSTS.len(), &path).await;
             let is_sent = fleet.fatal() > before;
-            sends += usize::from(is_sent && had_ended >= 3);
+            sends += usize::from(is_sent && crashes_before >= 3);
         }
-        assert!(fleet.hosts.iter().map(ended).sum::<u64>() >= 3);
-        assert!(sends <= MOST_SENDS, "sent {sends} times more");
+        assert!(fleet.hosts.iter().map(servers_ended).sum::<u64>() >= 3);
+        assert!(sends <= MAX_SENDS, "sent {sends} times more");
         for host in 0..HOSTS.len() {
             let answer = fleet.ask(host, "/all/x").await;
             assert_eq!(status(&answer), 200, "{answer}");
@@ -170,21 +171,21 @@
     });
 }
 
-/// The caller of an action comes again after each 502. What it is told has to be true: an action that ended a
-/// server may have run, and one that was not sent has not.
+/// The caller of an action retries after each 502. The status must be correct: an action that
+/// crashed a server may have run, and one that was not sent has not.
 #[test]
 fn a_fatal_action_is_refused_only_if_it_did_not_run() {
     run(async {
         let mut servers = Vec::new();
         for letter in ['a', 'b', 'c', 'd', 'e'] {
-            servers.push(Fragile::start(Nature::quick(letter)).await);
+            servers.push(CrashingServer::start(Behavior::quick(letter)).await);
         }
         let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
-        let served = serve(singles(&addresses)).await;
-        let reached = || servers.iter().map(Fragile::fatal).sum::<u32>();
+        let served = serve(single_service(&addresses)).await;
+        let reached = || servers.iter().map(CrashingServer::fatal).sum::<u32>();
         for attempt in 0..8 {
-            let is_up = || servers.iter().all(Fragile::is_up);
-            until("all servers are up", is_up).await;
+            let is_up = || servers.iter().all(CrashingServer::is_up);
+            wait_until("all servers are up", is_up).await;
             let before = reached();
             let id = format!("i{attempt}");
             let answer = ask(served.front, &get(&format!("/once/{FATAL}"), &id)).await;
@@ -195,38 +196,39 @@
     });
 }
 
-/// A host that has just started knows nothing, and the caller comes to it next.
+/// A host that has just started has no accounts, and receives the caller's next attempt.
 #[test]
-fn a_host_that_starts_learns_what_is_quarantined() {
+fn a_starting_host_learns_quarantined_requests() {
     run(async {
         let mut fleet = Fleet::start().await;
         let path = format!("/all/{FATAL}");
         fleet.ask(0, &path).await;
-        let is_known = |host: &Shared| {
+        let is_known = |host: &SharedHost| {
             let accounts = host.core.borrow().quarantine.accounts(1, host.now());
             let states = accounts.iter().map(|account| account.state);
             { states }.any(|state| matches!(state, State::Quarantined { .. }))
         };
-        until("quarantined", || is_known(&fleet.hosts[0])).await;
+        wait_until("quarantined", || is_known(&fleet.hosts[0])).await;
         let late = start("late", "b", vec![config()]).await;
         introduce(&fleet.hosts[0], &late);
-        until("the late host knows it", || is_known(&late)).await;
+        wait_until("the late host knows it", || is_known(&late)).await;
         let answer = ask(front(&late).await, &get(&path, "late")).await;
         assert_eq!(status(&answer), 503, "{answer}");
         assert!(header(&answer, "retry-after").is_some(), "{answer}");
     });
 }
 
-/// A search that lacks shards near its host is asked of another host, under whose eyes the servers end. Asked
-/// for again directly, the servers of its other failure domain would end as well.
+/// A search whose shards are not near its host is delegated to another host, which sees the servers
+/// crash. If the first host retried directly, the servers of the other failure domain would crash
+/// as well.
 #[test]
-fn a_host_that_is_asked_for_shards_tells_what_ended() {
+fn a_host_that_serves_shards_reports_crashes() {
     run(async {
         let mut servers = Vec::new();
         let mut items = vec![config()];
         for shard in 0..SHARDS {
             for domain in ["b", "c"] {
-                let server = Fragile::start(Nature::quick('x')).await;
+                let server = CrashingServer::start(Behavior::quick('x')).await;
                 let value = format!("s{shard} {} {domain}", server.address);
                 items.push(item(&format!("b{shard}{domain}"), value));
                 servers.push(server);
@@ -237,22 +239,22 @@
         introduce(&helper, &entry);
         let answer = ask(front(&entry).await, &get(&format!("/all/{FATAL}"), "i")).await;
         assert_eq!(status(&answer), 502, "{answer}");
-        let ends: u32 = servers.iter().map(Fragile::ends).sum();
+        let crashes: u32 = servers.iter().map(CrashingServer::crashes).sum();
         // One replica of each shard, and two canaries.
-        assert!(ends <= SHARDS as u32 + 2, "{ends}");
-        assert!(ended(&helper) >= 3);
+        assert!(crashes <= SHARDS as u32 + 2, "{crashes}");
+        assert!(servers_ended(&helper) >= 3);
     });
 }
 
-async fn operate(address: SocketAddr, method: &str, path: &str) -> String {
+async fn operator_request(address: SocketAddr, method: &str, path: &str) -> String {
     let request = format!("{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n");
     ask(address, &request).await
 }
 
-/// Servers have been mended, and the request that ended them is refused until an operator lifts that at one
-/// of the hosts.
+/// The servers have been fixed, but the request that crashed them is refused until an operator
+/// lifts its quarantine at one of the hosts.
 #[test]
-fn operators_see_and_lift_a_quarantine() {
+fn operators_list_and_lift_quarantines() {
     run(async {
         let mut fleet = Fleet::start().await;
         let path = format!("/all/{FATAL}");
@@ -265,8 +267,8 @@
             Audience::Operators,
         ));
         let mut list = String::new();
-        for _ in 0..LOOKS {
-            list = operate(address, "GET", "/quarantine").await;
+        for _ in 0..POLLS {
+            list = operator_request(address, "GET", "/quarantine").await;
             if list.contains(" quarantined ends=3 ") {
                 break;
             }
@@ -275,18 +277,21 @@
         let line = list.lines().last().expect("a line");
         let fingerprint = line.split(' ').next().expect("a fingerprint");
         let held = format!("/quarantine/{fingerprint}");
-        let other = operate(address, "DELETE", "/quarantine/0123").await;
+        let other = operator_request(address, "DELETE", "/quarantine/0123").await;
         assert_eq!(status(&other), 404);
         assert_eq!(status(&fleet.ask(0, &path).await), 503);
-        assert_eq!(status(&operate(address, "DELETE", &held).await), 200);
-        let is_clear = |host: &Shared| {
+        assert_eq!(
+            status(&operator_request(address, "DELETE", &held).await),
+            200
+        );
+        let is_clear = |host: &SharedHost| {
             let accounts = host.core.borrow().quarantine.accounts(1, host.now());
             accounts
                 .iter()
                 .all(|account| account.state == State::Cleared)
         };
         for host in &fleet.hosts {
-            until("lifted", || is_clear(host)).await;
+            wait_until("lifted", || is_clear(host)).await;
         }
         assert_eq!(status(&fleet.ask(0, &path).await), 502);
     });
--- a/crates/lentillift-gateway/tests/frames.rs
+++ b/crates/lentillift-gateway/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts over links that are slow or silent, in virtual time.
+//! Message framing between hosts over slow or silent links, in virtual time.
 
 use bincode::Decode;
 use bincode::Encode;
@@ -21,7 +21,7 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Bytes that are on the way at a time.
+/// Capacity of the in-memory connection, in bytes.
 const PIPE: usize = 1024 * 1024;
 
 #[derive(Debug, PartialEq, Encode, Decode)]
@@ -29,13 +29,14 @@
     content: Vec<u8>,
 }
 
-/// Reads one message that comes in so many parts with pauses between; gives up after `silence`.
+/// Reads one message that arrives in `parts` pieces with a pause before each; gives up after
+/// `silence` without data.
 async fn receive(parts: usize, pause: Duration, silence: Duration) -> Result<(Large, MessageSize)> {
     let content = vec![7; 100_000];
-    let whole = frame::frame(&Large { content }, "follower").expect("it can be encoded");
-    let size = whole.len().div_ceil(parts);
-    let pieces: Vec<Bytes> = whole.chunks(size).map(Bytes::copy_from_slice).collect();
-    let (near, far) = tokio::io::duplex(PIPE);
+    let encoded = frame::frame(&Large { content }, "follower").expect("it can be encoded");
+    let size = encoded.len().div_ceil(parts);
+    let pieces: Vec<Bytes> = encoded.chunks(size).map(Bytes::copy_from_slice).collect();
+    let (client_end, server_end) = tokio::io::duplex(PIPE);
     let service = service_fn(move |_: Request<Incoming>| {
         let slow = stream::iter(pieces.clone()).then(move |piece| async move {
             tokio::time::sleep(pause).await;
@@ -45,12 +46,12 @@
     });
     tokio::task::spawn_local(async move {
         let connection =
-            server::Builder::new(Executor).serve_connection(TokioIo::new(far), service);
-        // It ends with the test.
+            server::Builder::new(Executor).serve_connection(TokioIo::new(server_end), service);
+        // The connection ends with the test.
         let _ = connection.await;
     });
-    let shaken = client::Builder::new(Executor).handshake(TokioIo::new(near));
-    let (mut sender, connection) = shaken.await.expect("a connection");
+    let handshake = client::Builder::new(Executor).handshake(TokioIo::new(client_end));
+    let (mut sender, connection) = handshake.await.expect("a connection");
     tokio::task::spawn_local(connection);
     let request = Request::new(Empty::<Bytes>::new());
     let response = sender.send_request(request).await.expect("a response");
@@ -71,13 +72,13 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// What is published has grown, and the link of whoever tells it is busy: the message takes longer than
-/// the silence after which an origin is given up. Its reader left in the middle, asked elsewhere for
-/// the whole again, and each try made the links busier; news came into force seconds late. Lines of lost
-/// origins told of 177 messages that were left after 29 MB of them had come. Silence now counts from the
-/// last bytes that came.
+/// A large message over a busy link takes longer than the silence after which an origin is given
+/// up. When the total time counted as silence, followers disconnected midway and requested the
+/// whole state again elsewhere, which loaded the links further, and updates took effect seconds
+/// late. Logs showed 177 messages abandoned after 29 MB of them had arrived. Silence is therefore
+/// measured from the last data received.
 #[test]
-fn a_message_that_is_still_coming_is_not_silence() {
+fn a_slow_message_is_not_silence() {
     run(async {
         let silence = Duration::from_millis(1000);
         let read = receive(10, Duration::from_millis(400), silence).await;
@@ -86,10 +87,11 @@
     });
 }
 
-/// A message tells how old its sender's knowledge is, and is then seconds under way. Taken at its word, its
-/// reader would hold what it knows for fresher than it is, and ask a server that has left meanwhile.
+/// A message contains the age of its sender's state, and may take seconds to transfer. Without the
+/// transfer time its reader would take its state for fresher than it is, and use a server that has
+/// left meanwhile.
 #[test]
-fn the_time_that_a_message_took_is_known() {
+fn transfer_time_of_a_message_is_measured() {
     run(async {
         let pause = Duration::from_millis(400);
         let read = receive(10, pause, Duration::from_millis(1000)).await;
@@ -99,10 +101,10 @@
     });
 }
 
-/// An origin stops in the middle of a message, as when its host froze. Waited for without end, its
-/// follower would serve old knowledge.
+/// An origin stops within a message, as when its host froze. A follower that waited forever would
+/// serve old state.
 #[test]
-fn a_message_that_stops_is_given_up() {
+fn a_stalled_message_times_out() {
     run(async {
         let silence = Duration::from_millis(1000);
         let read = receive(2, Duration::from_millis(1500), silence).await;
--- a/crates/lentillift-gateway/tests/front.rs
+++ b/crates/lentillift-gateway/tests/front.rs
@@ -1,28 +1,28 @@
-//! What callers receive, whatever backend servers send.
+//! Responses to callers, for valid and broken replies of backend servers.
 
 mod common;
 
-use common::Act;
+use common::Reaction;
 use common::ask;
 use common::backend;
+use common::complete_reply;
 use common::get;
 use common::header;
 use common::item;
 use common::read_message;
 use common::run;
 use common::serve;
-use common::singles;
+use common::single_service;
 use common::status;
-use common::whole;
 use lentillift_gateway::host::Stage;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-const CUT: &str = "HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Length: 100\r\n\r\nhalf";
+const TRUNCATED: &str = "HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Length: 100\r\n\r\nhalf";
 
-macro_rules! passes_on {
+macro_rules! replies {
     ($($(#[$doc:meta])* $name:ident: $path:expr, $first:expr, $second:expr => $status:expr, $body:expr;)*) => {$(
         $(#[$doc])*
         #[test]
@@ -30,7 +30,7 @@
             run(async {
                 let first = backend(vec![$first]).await;
                 let second = backend(vec![$second]).await;
-                let served = serve(singles(&[first.address, second.address])).await;
+                let served = serve(single_service(&[first.address, second.address])).await;
                 let answer = ask(served.front, &get($path, "i1")).await;
                 assert_eq!(status(&answer), $status, "{answer}");
                 let body = answer.split_once("\r\n\r\n").map(|(_, body)| body);
@@ -40,86 +40,86 @@
     )*};
 }
 
-fn reply(text: &str) -> Act {
-    Act::Write(whole(text))
+fn reply(text: &str) -> Reaction {
+    Reaction::Write(complete_reply(text))
 }
 
-fn closing(text: &str) -> Act {
-    Act::WriteAndClose(text.to_owned())
+fn closing(text: &str) -> Reaction {
+    Reaction::WriteAndClose(text.to_owned())
 }
 
-passes_on! {
-    whole_reply: "/one/x", reply("yes"), reply("yes") => 200, "yes";
-    whole_reply_of_an_action: "/once/x", reply("yes"), reply("yes") => 200, "yes";
-    /// The server's reply ends in the middle. Passed on it would look whole, or hang the caller; the
-    /// other server is asked.
-    cut_reply: "/one/x", closing(CUT), reply("yes") => 200, "yes";
-    /// The same for an action, which may have run: no second server is asked, and the caller is not
+replies! {
+    successful_reply: "/one/x", reply("yes"), reply("yes") => 200, "yes";
+    successful_reply_of_an_action: "/once/x", reply("yes"), reply("yes") => 200, "yes";
+    /// The server's reply is truncated. Forwarded it would look complete, or block the caller; the
+    /// other server is tried instead.
+    cut_reply: "/one/x", closing(TRUNCATED), reply("yes") => 200, "yes";
+    /// As above for an action, which may have run: no second server is tried, and the caller is not
     /// told that it did not run.
-    cut_reply_of_an_action: "/once/x", closing(CUT), reply("yes") => 502, "";
-    /// The reply to an earlier request of somebody else comes late, on the same connection.
+    cut_reply_of_an_action: "/once/x", closing(TRUNCATED), reply("yes") => 502, "";
+    /// The reply to another caller's earlier request arrives late on the same connection.
     reply_to_another_request: "/once/x",
-        Act::Write("HTTP/1.1 200 OK\r\nx-signature: s\r\nx-id: other\r\nContent-Length: 2\r\n\r\nno".to_owned()),
+        Reaction::Write("HTTP/1.1 200 OK\r\nx-signature: s\r\nx-id: other\r\nContent-Length: 2\r\n\r\nno".to_owned()),
         reply("yes") => 502, "";
-    /// Something on the way answered in the server's place.
-    unsigned_reply: "/once/x", Act::Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno".to_owned()),
+    /// An intermediary answered in place of the server.
+    unsigned_reply: "/once/x", Reaction::Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno".to_owned()),
         reply("yes") => 502, "";
-    /// The reply was compressed on the way though nobody asked for that.
+    /// An intermediary compressed the reply, which was not requested.
     encoded_reply: "/once/x",
-        Act::Write("HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno".to_owned()),
+        Reaction::Write("HTTP/1.1 200 OK\r\nx-signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nno".to_owned()),
         reply("yes") => 502, "";
-    /// The server sends bytes that are no reply.
-    rubbish: "/once/x", closing("\u{1}\u{2}rubbish\r\n\r\n"), reply("yes") => 502, "";
-    /// A reply without a length ends with its connection. It is whole.
+    /// The server sends bytes that are not an HTTP reply.
+    malformed_reply: "/once/x", closing("\u{1}\u{2}rubbish\r\n\r\n"), reply("yes") => 502, "";
+    /// A reply without a length ends with its connection; it is complete.
     unframed_reply: "/one/x",
         closing("HTTP/1.1 200 OK\r\nx-signature: s\r\nx-id: ID\r\n\r\nyes"), reply("yes") => 200, "yes";
-    /// A reply without a length is reset on the way. It is not whole, though nothing says so but the
-    /// reset.
+    /// The connection is reset during a reply without a length. It is incomplete, and only the
+    /// reset shows that.
     reset_unframed_reply: "/once/x",
-        Act::WriteAndReset("HTTP/1.1 200 OK\r\nx-signature: s\r\nx-id: ID\r\n\r\nhal".to_owned()),
+        Reaction::WriteAndReset("HTTP/1.1 200 OK\r\nx-signature: s\r\nx-id: ID\r\n\r\nhal".to_owned()),
         reply("yes") => 502, "";
-    /// The server fails an action. That is its answer.
+    /// The server reports that an action failed, which is the caller's answer.
     failure_of_an_action: "/once/x",
-        Act::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 2\r\n\r\nno".to_owned()),
+        Reaction::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 2\r\n\r\nno".to_owned()),
         reply("yes") => 500, "no";
-    /// The server fails what may be repeated; the other serves it.
+    /// The server fails an idempotent request; the other server serves it.
     failure_of_a_query: "/one/x",
-        Act::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 2\r\n\r\nno".to_owned()),
+        Reaction::Write("HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 2\r\n\r\nno".to_owned()),
         reply("yes") => 200, "yes";
-    /// A full server turns an action away: it did not run, so the other may have it.
+    /// A full server rejects an action: it did not run, so the other server may run it.
     rejected_action: "/once/x",
-        Act::Write("HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n".to_owned()),
+        Reaction::Write("HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n".to_owned()),
         reply("yes") => 200, "yes";
-    /// Another server has got the address: it did not run the action.
+    /// The address now belongs to another server, which did not run the action.
     misdirected_action: "/once/x",
-        Act::Write("HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n".to_owned()),
+        Reaction::Write("HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n".to_owned()),
         reply("yes") => 200, "yes";
 }
 
-/// Both servers turn an action away. The caller is told truly that it did not run, and when to come
-/// back.
+/// Both servers reject an action. The caller correctly learns that it did not run, and when to
+/// retry.
 #[test]
 fn refused_action() {
     run(async {
         let full = "HTTP/1.1 503 Full\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n".to_owned();
-        let first = backend(vec![Act::Write(full.clone())]).await;
-        let second = backend(vec![Act::Write(full)]).await;
-        let served = serve(singles(&[first.address, second.address])).await;
+        let first = backend(vec![Reaction::Write(full.clone())]).await;
+        let second = backend(vec![Reaction::Write(full)]).await;
+        let served = serve(single_service(&[first.address, second.address])).await;
         let answer = ask(served.front, &get("/once/x", "i1")).await;
         assert_eq!(status(&answer), 503);
-        let after = header(&answer, "retry-after").expect("when to come back");
+        let after = header(&answer, "retry-after").expect("a retry-after header");
         assert!(after.parse::<f64>().expect("seconds") > 0.0);
     });
 }
 
-macro_rules! answers {
+macro_rules! statuses {
     ($($(#[$doc:meta])* $name:ident: $request:expr => $status:expr;)*) => {$(
         $(#[$doc])*
         #[test]
         fn $name() {
             run(async {
                 let server = backend(vec![reply("yes")]).await;
-                let served = serve(singles(&[server.address])).await;
+                let served = serve(single_service(&[server.address])).await;
                 let request = String::from($request);
                 let answer = ask(served.front, &request).await;
                 assert_eq!(status(&answer), $status, "{answer}");
@@ -132,21 +132,22 @@
     format!("POST /one/x HTTP/1.1\r\nHost: search.example\r\nx-id: i\r\n{headers}\r\n\r\n{body}")
 }
 
-answers! {
+statuses! {
     unknown_route: get("/none/", "i") => 404;
     body_with_a_length: post("Content-Length: 3", "abc") => 200;
     body_in_chunks: post("Transfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n") => 200;
     body_over_the_limit: post("Content-Length: 2000", &"x".repeat(2000)) => 413;
-    /// A body has two lengths. Taken by one of them, what follows would be a request of its own that
-    /// nobody sent.
+    /// A body with two lengths. If either was trusted, the remaining bytes could be parsed as a
+    /// request that was never sent (request smuggling).
     two_lengths: post("Content-Length: 3\r\nContent-Length: 5", "abcde") => 400;
     no_id: "GET /one/x HTTP/1.1\r\nHost: search.example\r\n\r\n" => 200;
     head_over_the_limit: get("/one/x", &"i".repeat(20_000)) => 431;
 }
 
-/// A process that has just started knows no configuration. It does not claim that routes don't exist.
+/// A process that has just started has no configuration. It must not report existing routes as
+/// unknown.
 #[test]
-fn without_a_configuration_callers_are_sent_elsewhere() {
+fn without_a_configuration_callers_are_asked_to_retry() {
     run(async {
         let served = serve(Vec::new()).await;
         let answer = ask(served.front, &get("/one/x", "i")).await;
@@ -156,13 +157,13 @@
     });
 }
 
-/// What concerns only the caller's connection stays there, a caller can't choose a backend server, and
-/// the time that is left is counted down.
+/// Hop-by-hop headers are not forwarded, a caller can't choose a backend server, and the remaining
+/// time is passed on.
 #[test]
-fn headers_that_are_passed_on() {
+fn only_end_to_end_headers_are_forwarded() {
     run(async {
         let mut server = backend(vec![reply("yes")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let served = serve(single_service(&[server.address])).await;
         let request = "GET /one/x?q=1 HTTP/1.1\r\nHost: search.example\r\nx-id: i\r\nx-left: 3000\r\n\
             x-backend: mine\r\nConnection: x-hop, keep-alive\r\nx-hop: 1\r\nx-other: 2\r\n\r\n";
         ask(served.front, request).await;
@@ -181,14 +182,14 @@
     });
 }
 
-/// After its reply a server sends another one that nobody asked for. It must not become the answer to
-/// the next request on that connection.
+/// A server sends an unsolicited second reply. It must not become the answer to the next request on
+/// that connection.
 #[test]
-fn an_extra_reply_answers_nobody() {
+fn an_unsolicited_reply_is_discarded() {
     run(async {
-        let double = format!("{}{}", whole("first"), whole("extra"));
-        let server = backend(vec![Act::Write(double), reply("second")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let double = format!("{}{}", complete_reply("first"), complete_reply("extra"));
+        let server = backend(vec![Reaction::Write(double), reply("second")]).await;
+        let served = serve(single_service(&[server.address])).await;
         for (id, body) in [("i1", "first"), ("i2", "second")] {
             let answer = ask(served.front, &get("/one/x", id)).await;
             assert!(answer.ends_with(body), "{id}: {answer}");
@@ -196,13 +197,13 @@
     });
 }
 
-/// A server closes a kept connection just when it is to be used again. Nothing of the request was
-/// read, so it goes over a new connection, even if it must not be repeated.
+/// A server closes an idle connection just as it is reused. Nothing of the request was read, so it
+/// is sent over a new connection, even if it must run at most once.
 #[test]
 fn a_closed_kept_connection_costs_nothing() {
     run(async {
-        let server = backend(vec![closing(&whole("one")), reply("two")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let server = backend(vec![closing(&complete_reply("one")), reply("two")]).await;
+        let served = serve(single_service(&[server.address])).await;
         for (id, body) in [("i1", "one"), ("i2", "two")] {
             let answer = ask(served.front, &get("/once/x", id)).await;
             assert!(answer.ends_with(body), "{id}: {answer}");
@@ -212,13 +213,13 @@
     });
 }
 
-/// A caller leaves while its request is under way. The server's work is for nobody; its connection is
-/// closed, which ends it.
+/// A caller disconnects while its request is in flight. The server's work is no longer needed;
+/// closing the connection to it cancels the work.
 #[test]
-fn a_caller_that_leaves_ends_the_work() {
+fn a_disconnected_caller_cancels_the_work() {
     run(async {
-        let mut server = backend(vec![Act::Hang]).await;
-        let served = serve(singles(&[server.address])).await;
+        let mut server = backend(vec![Reaction::Hang]).await;
+        let served = serve(single_service(&[server.address])).await;
         let mut caller = TcpStream::connect(served.front).await.expect("connected");
         let request = get("/one/x", "i");
         caller.write_all(request.as_bytes()).await.expect("written");
@@ -228,10 +229,10 @@
     });
 }
 
-/// A search over three shards, of which one has no server. The answer names the two parts, says that
-/// one is missing, and holds their greatest records.
+/// A search over three shards, one of which has no server. The answer names the two parts, states
+/// that one is missing, and contains their greatest records.
 #[test]
-fn a_partial_search_says_what_it_lacks() {
+fn a_partial_search_reports_missing_parts() {
     run(async {
         let (low, high) = ("a".repeat(16), "z".repeat(16));
         let first = backend(vec![reply(&low)]).await;
@@ -250,13 +251,13 @@
     });
 }
 
-/// A process is told to end while a request is under way and another connection is idle. The request
-/// is answered whole, with word that the connection closes; the idle connection is closed in the end.
+/// A process shuts down while one request is in flight and another connection is idle. The request
+/// is answered completely with `Connection: close`; the idle connection is closed at the end.
 #[test]
-fn an_end_cuts_nothing_off() {
+fn shutdown_completes_requests_in_flight() {
     run(async {
         let server = backend(vec![reply("yes")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let served = serve(single_service(&[server.address])).await;
         let mut idle = TcpStream::connect(served.front).await.expect("connected");
         let request = get("/one/x", "i1");
         idle.write_all(request.as_bytes()).await.expect("written");
@@ -274,15 +275,15 @@
     });
 }
 
-/// More callers connect than the process may hold connections for. Those beyond wait; once one leaves,
-/// the next is served.
+/// More callers connect than the process may accept. The excess waits; once one disconnects, the
+/// next is served.
 #[test]
 fn callers_beyond_the_limit_wait() {
     run(async {
         let server = backend(vec![reply("yes")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let served = serve(single_service(&[server.address])).await;
         let mut held = Vec::new();
-        for n in 0..common::MOST_CALLERS {
+        for n in 0..common::MAX_CALLERS {
             let mut caller = TcpStream::connect(served.front).await.expect("connected");
             let request = get("/one/x", &format!("i{n}"));
             caller.write_all(request.as_bytes()).await.expect("written");
@@ -298,12 +299,12 @@
     });
 }
 
-/// A caller sends its second request before it has the first answer. Both are answered, in their order.
+/// A caller pipelines two requests. Both are answered, in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     run(async {
         let server = backend(vec![reply("first"), reply("second")]).await;
-        let served = serve(singles(&[server.address])).await;
+        let served = serve(single_service(&[server.address])).await;
         let mut caller = TcpStream::connect(served.front).await.expect("connected");
         let both = get("/one/x", "i1") + &get("/one/x", "i2");
         caller.write_all(both.as_bytes()).await.expect("written");
--- a/crates/lentillift-gateway/tests/hosts.rs
+++ b/crates/lentillift-gateway/tests/hosts.rs
@@ -1,12 +1,13 @@
-//! What hosts tell each other: parts of a search, and what is published.
+//! Communication between hosts: parts of a search, and published state.
 
 mod common;
 
-use common::Act;
-use common::Memory;
-use common::Shared;
+use common::MemorySource;
+use common::Reaction;
+use common::SharedHost;
 use common::ask;
 use common::backend;
+use common::complete_reply;
 use common::front;
 use common::get;
 use common::header;
@@ -17,34 +18,33 @@
 use common::run;
 use common::start;
 use common::status;
-use common::whole;
 use lentillift_gateway::feed;
 use lentillift_scatter::delay::Stamp;
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::News;
 use std::time::Duration;
 
-/// Five shards with one replica each in failure domain `b`.
-async fn shards(acts: [Act; 5]) -> Vec<Item> {
+/// Five shards with one replica each, in failure domain `b`.
+async fn shards(reactions: [Reaction; 5]) -> Vec<Item> {
     let mut items = vec![item("config", "s0 s1 s2 s3 s4".to_owned())];
-    for (n, act) in acts.into_iter().enumerate() {
-        let server = backend(vec![act]).await;
+    for (n, reaction) in reactions.into_iter().enumerate() {
+        let server = backend(vec![reaction]).await;
         items.push(item(&format!("b{n}"), format!("s{n} {} b", server.address)));
     }
     items
 }
 
-fn record(letter: char) -> Act {
-    Act::Write(whole(&letter.to_string().repeat(16)))
+fn record(letter: char) -> Reaction {
+    Reaction::Write(complete_reply(&letter.to_string().repeat(16)))
 }
 
-fn counted(host: &Shared, line: &str) -> bool {
+fn counted(host: &SharedHost, line: &str) -> bool {
     host.metrics.render(host.now()).contains(line)
 }
 
-/// A search through a host in domain `a` that knows one in domain `b`, each with what it believes; the
-/// answer is a success.
-async fn search_beside_helper(near: Vec<Item>, far: Vec<Item>) -> (Shared, String) {
+/// Searches through a host in domain `a` that knows one in domain `b`, each with its own published
+/// state; checks that the search succeeds.
+async fn search_with_helper(near: Vec<Item>, far: Vec<Item>) -> (SharedHost, String) {
     let entry = start("entry", "a", near).await;
     let helper = start("helper", "b", far).await;
     introduce(&helper, &entry);
@@ -54,11 +54,11 @@
 }
 
 #[test]
-fn another_host_merges_what_is_far() {
+fn another_host_merges_distant_shards() {
     run(async {
-        let acts = ['a', 'e', 'c', 'b', 'd'].map(record);
-        let items = shards(acts).await;
-        let (entry, answer) = search_beside_helper(items.clone(), items).await;
+        let reactions = ['a', 'e', 'c', 'b', 'd'].map(record);
+        let items = shards(reactions).await;
+        let (entry, answer) = search_with_helper(items.clone(), items).await;
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("0"));
         let expected: String = ['e', 'd', 'c', 'b', 'a']
             .map(|c| c.to_string().repeat(16))
@@ -69,29 +69,30 @@
     });
 }
 
-/// The host that is asked does not know the route yet, as after a change of the configuration. It
-/// declines, nothing was sent, and the backend servers are asked directly.
+/// The other host does not know the route yet, as after a configuration change. It declines without
+/// sending anything, and the backend servers are queried directly.
 #[test]
-fn a_host_that_declines_costs_nothing() {
+fn a_declined_branch_request_falls_back_to_direct_sends() {
     run(async {
         let items = shards(['a', 'b', 'c', 'd', 'e'].map(record)).await;
-        let (entry, answer) = search_beside_helper(items, Vec::new()).await;
+        let (entry, answer) = search_with_helper(items, Vec::new()).await;
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("0"));
         assert!(counted(&entry, "sends_total{kind=\"far\"} 5"));
     });
 }
 
-/// A question was held up on its way for longer than a caller that has left may be worked for, as behind a
-/// full link. The host that is asked sends nothing and says so, and the backend servers are asked
-/// directly.
+/// A branch request was delayed in transit for longer than work may continue for a caller that has
+/// left, as behind a saturated link. The other host sends nothing and declines, and the backend
+/// servers are queried directly.
 #[test]
-fn a_question_that_was_held_up_is_declined() {
+fn a_delayed_branch_request_is_declined() {
     run(async {
         let items = shards(['a', 'b', 'c', 'd', 'e'].map(record)).await;
         let entry = start("entry", "a", items.clone()).await;
         let helper = start("helper", "b", items).await;
         introduce(&helper, &entry);
-        // An earlier question came ten seconds after it was asked less than the next one will.
+        // Makes the next request appear delayed by ten seconds: an earlier one, stamped ten seconds
+        // ahead, arrived without delay.
         let stamp = Stamp {
             host: entry.name.clone(),
             incarnation: entry.swim.borrow().own().incarnation,
@@ -105,15 +106,15 @@
     });
 }
 
-/// The host that is asked is gone, and nobody listens at its address.
+/// The other host is gone, and its port is closed.
 #[test]
-fn a_host_that_is_gone_is_gone_round() {
+fn an_unreachable_host_is_bypassed() {
     run(async {
         let items = shards(['a', 'b', 'c', 'd', 'e'].map(record)).await;
         let entry = start("entry", "a", items).await;
         let (closed, node) = listener().await;
         drop(closed);
-        let gone = host("gone", "b", node, Memory::default());
+        let gone = host("gone", "b", node, MemorySource::default());
         gone.swim.borrow_mut().serve();
         introduce(&gone, &entry);
         let answer = ask(front(&entry).await, &get("/all/x", "i")).await;
@@ -122,24 +123,25 @@
     });
 }
 
-/// One backend server of the host that is asked fails. The answer says that one part is missing.
+/// One backend server of the other host fails. The answer states that one part is missing.
 #[test]
-fn a_part_that_failed_elsewhere_is_missing() {
+fn a_part_that_failed_at_another_host_is_missing() {
     run(async {
         let failure = "HTTP/1.1 500 Oops\r\nx-signature: s\r\nContent-Length: 0\r\n\r\n";
-        let mut acts = ['a', 'b', 'c', 'd', 'e'].map(record);
-        acts[2] = Act::Write(failure.to_owned());
-        let items = shards(acts).await;
-        let (_entry, answer) = search_beside_helper(items.clone(), items).await;
+        let mut reactions = ['a', 'b', 'c', 'd', 'e'].map(record);
+        reactions[2] = Reaction::Write(failure.to_owned());
+        let items = shards(reactions).await;
+        let (_entry, answer) = search_with_helper(items.clone(), items).await;
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("1"));
         let parts = header(&answer, "x-parts").expect("parts");
         assert_eq!(parts.split(',').count(), 4);
     });
 }
 
-/// One host reads what is published and the other follows it: at first everything, then each change.
+/// One host has the published state and another follows it: first the complete state, then each
+/// change.
 #[test]
-fn a_follower_learns_everything_and_each_change() {
+fn a_follower_receives_the_state_and_each_change() {
     run(async {
         let items = shards(['a', 'b', 'c', 'd', 'e'].map(record)).await;
         let reader = start("reader", "a", items).await;
@@ -167,11 +169,11 @@
     });
 }
 
-/// The service turns away the host that reads it for the others. They would find out by the age of what
-/// they are told, two thirds of the time later in which news has to be in force; told at once, they go on
-/// to the next origin.
+/// The service refuses the host that reads it for the others. Followers would detect that only by
+/// the age of the state that they receive, two thirds of the freshness bound later; notified at
+/// once, they switch to the next origin.
 #[test]
-fn a_follower_leaves_one_that_lost_its_origin() {
+fn a_follower_leaves_an_origin_that_lost_its_own() {
     run(async {
         let items = shards(['a', 'b', 'c', 'd', 'e'].map(record)).await;
         let reader = start("reader", "a", items).await;
--- a/crates/lentillift-gateway/tests/log.rs
+++ b/crates/lentillift-gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! Logs under load, and with a reader that does not read.
+//! Logging under load, and with a reader that stalls.
 
 use lentillift_gateway::log::Log;
 use std::io;
@@ -6,10 +6,10 @@
 use std::sync::mpsc::Sender;
 use std::sync::mpsc::channel;
 
-/// An output whose reader has stopped reading: each write waits for good.
-struct Stuck;
+/// An output whose reader has stalled: each write blocks forever.
+struct Blocked;
 
-impl Write for Stuck {
+impl Write for Blocked {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -21,22 +21,22 @@
     }
 }
 
-/// Whoever reads the log stops reading. Lines are dropped and counted; the process goes on.
+/// The reader of the log stalls. Lines are dropped and counted; the process is not blocked.
 #[test]
-fn a_reader_that_does_not_read_holds_nothing_up() {
-    let mut log = Log::start(Stuck);
+fn a_stalled_reader_does_not_block() {
+    let mut log = Log::start(Blocked);
     for _ in 0..100_000 {
         log.write_all(b"line\n").expect("taken");
     }
     assert!(log.dropped() > 90_000);
 }
 
-/// An output that hands on what is written.
-struct Passing(Sender<Vec<u8>>);
+/// An output that forwards what is written to a channel.
+struct Forwarding(Sender<Vec<u8>>);
 
-impl Write for Passing {
+impl Write for Forwarding {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // The test may have seen enough.
+        // The test may have ended and dropped the receiver.
         let _ = self.0.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -46,12 +46,12 @@
     }
 }
 
-/// A burst of lines comes in at once. Some are written, the rest are left out, and the log says how
-/// many.
+/// A burst exceeds the rate limit. Some lines are written, the rest are left out, and the log
+/// states how many.
 #[test]
-fn a_burst_is_thinned_and_the_log_says_so() {
+fn a_burst_is_limited_and_reported() {
     let (sender, written) = channel();
-    let mut log = Log::start(Passing(sender));
+    let mut log = Log::start(Forwarding(sender));
     for _ in 0..2000 {
         log.write_all(b"line\n").expect("taken");
     }
--- a/crates/lentillift-gateway/tests/memory.rs
+++ b/crates/lentillift-gateway/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The system's word on the memory of a process.
+//! Reading a process's resident memory.
 
 use lentillift_gateway::memory;
 
@@ -12,13 +12,13 @@
 }
 
 parses! {
-    usual: "Name:\tx\nVmRSS:\t    9404 kB\nThreads:\t2\n" => Some(9_629_696);
-    no_such_line: "Name:\tx\n" => None;
-    no_number: "VmRSS:\tmany kB\n" => None;
-    another_unit: "VmRSS:\t 9 MB\n" => None;
+    valid_status: "Name:\tx\nVmRSS:\t    9404 kB\nThreads:\t2\n" => Some(9_629_696);
+    missing_line: "Name:\tx\n" => None;
+    invalid_number: "VmRSS:\tmany kB\n" => None;
+    unexpected_unit: "VmRSS:\t 9 MB\n" => None;
 }
 
 #[test]
-fn this_process_takes_some() {
+fn this_process_has_resident_memory() {
     assert!(memory::resident_bytes().is_some_and(|bytes| bytes > 100_000));
 }
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -1,4 +1,4 @@
-//! How fast all hosts know what one of them has quarantined, over modelled links in virtual time.
+//! Time until all hosts know what one of them has quarantined, over modelled links in virtual time.
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
@@ -24,22 +24,22 @@
 /// Time within which all hosts have to know.
 const BOUND: Duration = Duration::from_secs(4);
 
-/// Longest way of a message.
-const LONGEST_WAY: Duration = Duration::from_millis(40);
+/// Longest transit time of a message.
+const MAX_TRANSIT: Duration = Duration::from_millis(40);
 
-/// Seeds of each case.
+/// Number of seeds of each case.
 const SEEDS: u64 = 10;
 
-/// A fleet whose hosts tell each other as [`lentillift_gateway::quarantine`] does.
+/// A model of a fleet whose hosts exchange accounts as [`lentillift_gateway::quarantine`] does.
 struct Fleet {
     rng: StdRng,
     hosts: Vec<Table>,
-    /// Messages on their way, by when they arrive.
-    ways: BTreeMap<(Time, u64), (usize, Vec<Account>)>,
+    /// Messages in transit, by arrival time.
+    in_transit: BTreeMap<(Time, u64), (usize, Vec<Account>)>,
     sent: u64,
-    /// Part of the messages that are lost.
+    /// Fraction of messages that are lost.
     loss: f64,
-    /// Hosts that no message reaches or leaves, and until when.
+    /// Number of hosts that are cut off from all messages, and the end of that.
     cut: (usize, Time),
 }
 
@@ -48,7 +48,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed),
             hosts: (0..hosts).map(|_| Table::default()).collect(),
-            ways: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             loss,
             cut: (0, NOON),
@@ -65,8 +65,9 @@
         if is_lost || self.is_cut(from, now) || self.is_cut(to, now) {
             return;
         }
-        let way = self.rng.random_range(MS..LONGEST_WAY);
-        self.ways.insert((now + way, self.sent), (to, accounts));
+        let transit = self.rng.random_range(MS..MAX_TRANSIT);
+        self.in_transit
+            .insert((now + transit, self.sent), (to, accounts));
     }
 
     fn others(&mut self, host: usize, count: usize) -> Vec<usize> {
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Runs until all know; the time that took, or none within `most`.
+    /// Runs until all hosts know the quarantine; returns the time taken, or none if it exceeds
+    /// `most`.
     fn run(&mut self, fingerprint: Fingerprint, most: Duration) -> Option<Duration> {
         let mut now = NOON;
         while now < NOON + most {
@@ -108,15 +110,19 @@
                 return Some(now - NOON);
             }
             now += MS;
-            while let Some(way) = self.ways.first_entry().filter(|way| way.key().0 <= now) {
-                let (host, accounts) = way.remove();
+            while let Some(message) = self
+                .in_transit
+                .first_entry()
+                .filter(|message| message.key().0 <= now)
+            {
+                let (host, accounts) = message.remove();
                 self.hosts[host].hear(&Options::default(), &accounts, now);
             }
             for host in 0..self.hosts.len() {
                 self.push(host, now);
-                let turn = (now + MS * host as u32).as_millis();
+                let offset = (now + MS * host as u32).as_millis();
                 let latest = self.hosts[host].accounts(1, now);
-                if turn.is_multiple_of(period(&latest, true).as_millis()) {
+                if offset.is_multiple_of(period(&latest, true).as_millis()) {
                     self.exchange(host, now);
                 }
             }
@@ -124,7 +130,7 @@
         None
     }
 
-    /// Has the last host quarantine a request.
+    /// Makes the last host quarantine a request.
     fn quarantine(&mut self) -> Fingerprint {
         let fingerprint = Fingerprint::of("GET", "search.example", "/fatal", &[]);
         let host = self.hosts.last_mut().expect("a host");
@@ -139,7 +145,7 @@
     }
 }
 
-/// A caller comes again to a host that has not heard of it yet.
+/// A caller retries at a host that has not learnt of the quarantine yet.
 macro_rules! all_hosts_know_in_time {
     ($($name:ident: $hosts:expr, $loss:expr;)*) => {$(
         #[test]
@@ -162,7 +168,8 @@
     all_hosts_of_the_largest_fleet_and_lost_messages: 760, 0.3;
 }
 
-/// A third of the hosts is cut off while all others learn of it, and hears of it afterwards.
+/// A third of the hosts is cut off while all others learn of the quarantine, and learns of it after
+/// reconnecting.
 #[test]
 fn hosts_that_were_cut_off_know_in_time() {
     for seed in 0..SEEDS {
@@ -175,7 +182,7 @@
     }
 }
 
-/// News that every host passes on to every other would take a message for each pair of hosts.
+/// If every host forwarded a change to every other, it would take one message per pair of hosts.
 #[test]
 fn each_host_sends_a_bounded_number_of_messages() {
     let hosts = 760;
--- a/crates/lentillift-gateway/tests/spread.rs
+++ b/crates/lentillift-gateway/tests/spread.rs
@@ -1,9 +1,9 @@
-//! How long a configuration that has grown takes to every host, over the links of the smallest ones.
+//! Time until a large configuration reaches every host, over the links of the smallest hosts.
 
 mod common;
 
-use common::Memory;
-use common::Shared;
+use common::MemorySource;
+use common::SharedHost;
 use common::host;
 use common::item;
 use common::listener;
@@ -22,18 +22,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes a second of a small host's link: 20 Mbit/s.
+/// Bandwidth of a small host's link in bytes per second: 20 Mbit/s.
 const LINK: f64 = 2_500_000.0;
 
-/// Bytes of a published value on the way from the service, which sends it as base64 text.
+/// Size factor of a published value sent by the service, which encodes it as base64.
 const TEXT: f64 = 4.0 / 3.0;
 
-fn word(rng: &mut StdRng) -> String {
+fn random_word(rng: &mut StdRng) -> String {
     let letters = (0..7).map(|_| char::from(rng.random_range(b'a'..=b'z')));
     letters.collect()
 }
 
-/// A configuration of so many routes, with names that nobody can foresee.
+/// A configuration of `routes` routes with random names, which do not compress well.
 fn document(routes: usize) -> String {
     let mut rng = StdRng::seed_from_u64(7);
     let routes: Vec<String> = (0..routes)
@@ -41,17 +41,17 @@
             format!(
                 "{{\"name\":\"r-{}\",\"host\":\"{}.example\",\"prefix\":\"/{}/\",\"kind\":\"idempotent\",\
                  \"timeout_ms\":5000,\"objective_ms\":500,\"priority\":2,\"service\":\"{}\",\"attempts\":2}}",
-                word(&mut rng),
-                word(&mut rng),
-                word(&mut rng),
-                word(&mut rng)
+                random_word(&mut rng),
+                random_word(&mut rng),
+                random_word(&mut rng),
+                random_word(&mut rng)
             )
         })
         .collect();
     format!("{{\"routes\":[{}]}}", routes.join(","))
 }
 
-fn learn(host: &Shared, revision: id::Revision, value: String) {
+fn learn(host: &SharedHost, revision: id::Revision, value: String) {
     let item = Item {
         revision,
         ..item("config", value)
@@ -64,11 +64,11 @@
     host.apply_update(Some(news), Duration::ZERO);
 }
 
-/// Bytes that a follower is told which knows the first revision, when the configuration has grown to so
-/// many routes and one of them was changed after that.
-async fn told(routes: usize) -> f64 {
+/// Size in bytes of the message to a follower that has revision 1, after the configuration has
+/// grown to `routes` routes and one of them was changed.
+async fn message_bytes(routes: usize) -> f64 {
     let (_listener, node) = listener().await;
-    let reader = host("reader", "a", node, Memory::default());
+    let reader = host("reader", "a", node, MemorySource::default());
     learn(&reader, 1, document(10));
     learn(&reader, 2, document(routes));
     learn(&reader, 3, document(routes) + "-changed");
@@ -88,21 +88,21 @@
     hosts.collect()
 }
 
-/// Seconds until each host has a message of so many bytes, if all hosts agree on who is there: whoever
-/// has it sends it to all its followers at once, over its one link.
+/// Seconds until every host has a message of `bytes` bytes, if all hosts agree on the membership
+/// and each host sends the message to all its followers at once over its single link.
 fn spread(fleet: &[Candidate], read: f64, bytes: f64) -> f64 {
     let mut followers: BTreeMap<id::Host, Vec<id::Host>> = BTreeMap::new();
     let mut has: Vec<(id::Host, f64)> = Vec::new();
-    for me in fleet {
-        let others: Vec<Candidate> = fleet.iter().filter(|one| *one != me).cloned().collect();
-        match follow::order(me, &others, follow::FAN, 0)
+    for own in fleet {
+        let others: Vec<Candidate> = fleet.iter().filter(|one| *one != own).cloned().collect();
+        match follow::order(own, &others, follow::FAN, 0)
             .into_iter()
             .next()
         {
             Some(Origin::Host(origin)) => {
-                followers.entry(origin).or_default().push(me.host.clone())
+                followers.entry(origin).or_default().push(own.host.clone())
             }
-            _ => has.push((me.host.clone(), read * TEXT / LINK)),
+            _ => has.push((own.host.clone(), read * TEXT / LINK)),
         }
     }
     let (mut reached, mut last) = (0, 0.0_f64);
@@ -117,18 +117,19 @@
     last
 }
 
-/// An operator adds routes by the thousand and changes one of them a second later. Callers of some hosts
-/// were answered by the old configuration for seconds after the bound, and searches that came to the first
-/// host of a failure domain timed out. That host sent each other host of its failure domain a copy, of both
-/// versions, over a link that carries two and a half megabytes a second. What proved it: the links of just
-/// these hosts were full, the versions came into force on the others in the order in which their copies
-/// ended, and processors and the service were idle. Now each host passes on the last version to three.
+/// An operator adds routes by the thousand and changes one of them a second later. Callers of some
+/// hosts were answered from the old configuration for seconds after the bound, and searches that
+/// reached the first host of a failure domain timed out. That host sent a copy of both versions to
+/// each other host of its domain, over a link of two and a half megabytes per second. The evidence:
+/// the links of just these hosts were saturated, the versions took effect on the others in the
+/// order in which their copies completed, and processors and the service were idle. Now each host
+/// forwards only the last version, to three others.
 macro_rules! in_force {
     ($($name:ident: $domains:expr, $each:expr, $routes:expr, $bound:expr;)*) => {$(
         #[test]
         fn $name() {
             run(async {
-                let bytes = told($routes).await;
+                let bytes = message_bytes($routes).await;
                 let read = document($routes).len() as f64;
                 let seconds = spread(&fleet($domains, $each), read, bytes);
                 assert!(seconds < $bound, "{seconds:.1} s for {bytes} bytes a host");
