--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -1,12 +1,12 @@
-//! One request to one backend server, and what its reply is worth.
+//! One request to one backend server, and the classification of its reply.
 //!
-//! What goes wrong: a reply is cut off, belongs to another request, comes without a signature, or is
-//! encoded on the way. Passed on, it would look like the caller's answer. Each is told apart here and
-//! counts as lost; the caller gets another server's reply, or an error.
+//! A reply may be truncated, belong to another request, lack a signature, or be re-encoded by an
+//! intermediary. Forwarded, it would look like a valid answer to the caller. Each of these cases is
+//! detected here and counts as a lost reply; the caller gets another server's reply, or an error.
 
 use crate::dialect::Dialect;
-use crate::dialect::Mark;
-use crate::dialect::Ran;
+use crate::dialect::Executed;
+use crate::dialect::ReplyInfo;
 use crate::host::Host;
 use crate::message::Message;
 use crate::metric;
@@ -26,35 +26,35 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Time beyond a server's limit after which its reply is no longer awaited.
-const SLACK: Duration = Duration::from_millis(30);
+/// Time that a reply may arrive after the server's own time limit.
+const REPLY_SLACK: Duration = Duration::from_millis(30);
 
-/// A whole reply of a backend server.
+/// A complete reply of a backend server.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its head and body.
+    /// Head and body of the reply.
     pub response: Response<Bytes>,
-    /// The server's signature.
+    /// The server's signature under the reply.
     pub signature: Option<Box<str>>,
 }
 
-/// How an exchange ended.
+/// Result of an exchange.
 #[derive(Debug)]
-pub struct Ended {
-    /// For the decisions.
+pub struct ExchangeResult {
+    /// Outcome as the query's decisions see it.
     pub outcome: Outcome,
-    /// The reply, if there is one to be used or passed on.
+    /// The reply, if it can be used or passed on.
     pub reply: Option<Reply>,
-    /// What happened, for the log.
-    pub why: &'static str,
+    /// Reason for the outcome, for the log.
+    pub reason: &'static str,
 }
 
-impl Ended {
-    fn without(outcome: Outcome, why: &'static str) -> Self {
+impl ExchangeResult {
+    fn without(outcome: Outcome, reason: &'static str) -> Self {
         Self {
             outcome,
             reply: None,
-            why,
+            reason,
         }
     }
 }
@@ -66,7 +66,7 @@
     kind: Kind,
     message: &Message,
     send: &Send,
-) -> Ended
+) -> ExchangeResult
 where
     D: Dialect,
     S: Source,
@@ -76,35 +76,37 @@
     *request.uri_mut() = message.path.clone();
     *request.headers_mut() = message.headers.clone();
     let backend = &server.entry.id;
-    let left = send.timeout;
-    host.dialect.address(request.headers_mut(), backend, left);
+    let remaining = send.timeout;
+    host.dialect
+        .set_target_headers(request.headers_mut(), backend, remaining);
     let is_withheld = || is_withheld(host, message, send);
-    let may_leave = || host.core.borrow().may_send(server, host.now()) && !is_withheld();
-    let exchange = host.pool.exchange(server, kind, request, may_leave);
-    match tokio::time::timeout(left + SLACK, exchange).await {
-        Ok(Ok(response)) => judge(&host.dialect, message, response),
+    let may_send = || host.core.borrow().may_send(server, host.now()) && !is_withheld();
+    let exchange = host.pool.exchange(server, kind, request, may_send);
+    match tokio::time::timeout(remaining + REPLY_SLACK, exchange).await {
+        Ok(Ok(response)) => classify(&host.dialect, message, response),
         Ok(Err(Failure::Unsent(_))) if is_withheld() => {
-            Ended::without(Outcome::Withheld, "request became suspect")
+            ExchangeResult::without(Outcome::Withheld, "request became suspect before the send")
         }
-        Ok(Err(Failure::Unsent(why))) => Ended::without(Outcome::Unreachable, why),
-        Ok(Err(Failure::Broken(why))) => Ended::without(Outcome::Broken, why),
-        Ok(Err(Failure::Cut(why))) => match host.pool.is_refused(server).await {
-            true => server_ended(host, server, message),
-            false => Ended::without(Outcome::Broken, why),
+        Ok(Err(Failure::Unsent(reason))) => ExchangeResult::without(Outcome::Unreachable, reason),
+        Ok(Err(Failure::Broken(reason))) => ExchangeResult::without(Outcome::Broken, reason),
+        Ok(Err(Failure::Cut(reason))) => match host.pool.is_refused(server).await {
+            true => record_server_end(host, server, message),
+            false => ExchangeResult::without(Outcome::Broken, reason),
         },
-        Err(_) => Ended::without(Outcome::Broken, "no reply in time"),
+        Err(_) => ExchangeResult::without(Outcome::Broken, "no reply in time"),
     }
 }
 
-/// Whether servers ended under the request since the send was decided.
+/// Whether the request became suspect after this send was decided, because servers ended while they
+/// ran it.
 fn is_withheld<D, S>(host: &Host<D, S>, message: &Message, send: &Send) -> bool {
     let core = host.core.borrow();
     let verdict = core.verdict(Some(message.fingerprint), host.clock.now());
     !send.canary && !send.has_reply && verdict != Verdict::Clear
 }
 
-/// Notes that a server's process ended while it had the request.
-fn server_ended<D, S>(host: &Host<D, S>, server: &Server, message: &Message) -> Ended
+/// Records that a server's process ended while it had the request.
+fn record_server_end<D, S>(host: &Host<D, S>, server: &Server, message: &Message) -> ExchangeResult
 where
     D: Dialect,
     S: Source,
@@ -117,69 +119,76 @@
         service = %server.entry.service,
         "backend server ended while it had the request"
     );
-    host.board.add(metric::SERVERS_ENDED, 1);
-    Ended::without(Outcome::ServerEnded, "server ended")
+    host.metrics.add(metric::SERVERS_ENDED, 1);
+    ExchangeResult::without(Outcome::ServerEnded, "server ended")
 }
 
-/// Says what a reply is worth.
-fn judge<D>(dialect: &D, message: &Message, response: Response<Bytes>) -> Ended
+/// Classifies a reply.
+fn classify<D>(dialect: &D, message: &Message, response: Response<Bytes>) -> ExchangeResult
 where
     D: Dialect,
 {
     let (head, body) = response.into_parts();
-    let mark = dialect.mark(&head);
+    let info = dialect.parse_reply(&head);
     let response = Response::from_parts(head, body);
-    match worth(&mark, message, &response) {
-        Worth::Misdirected => Ended::without(Outcome::Misdirected, "another server's address"),
-        Worth::NotRun => Ended::without(Outcome::Rejected { load: mark.load }, "turned away"),
-        Worth::Nothing(why) => Ended::without(Outcome::Broken, why),
-        Worth::Failure => whole(Outcome::Failure { load: mark.load }, mark, response),
-        Worth::Part => whole(Outcome::Part { load: mark.load }, mark, response),
+    match reply_class(&info, message, &response) {
+        ReplyClass::Misdirected => {
+            ExchangeResult::without(Outcome::Misdirected, "address belongs to another server")
+        }
+        ReplyClass::NotRun => ExchangeResult::without(
+            Outcome::Rejected { load: info.load },
+            "rejected before it ran",
+        ),
+        ReplyClass::Unusable(reason) => ExchangeResult::without(Outcome::Broken, reason),
+        ReplyClass::Failure => with_reply(Outcome::Failure { load: info.load }, info, response),
+        ReplyClass::Part => with_reply(Outcome::Part { load: info.load }, info, response),
     }
 }
 
-fn whole(outcome: Outcome, mark: Mark, response: Response<Bytes>) -> Ended {
-    let why = match &outcome {
+fn with_reply(outcome: Outcome, info: ReplyInfo, response: Response<Bytes>) -> ExchangeResult {
+    let reason = match &outcome {
         Outcome::Part { .. } => "whole",
-        _ => "the server's own failure",
+        _ => "server reported a failure",
     };
-    Ended {
+    ExchangeResult {
         outcome,
         reply: Some(Reply {
             response,
-            signature: mark.signature,
+            signature: info.signature,
         }),
-        why,
+        reason,
     }
 }
 
-/// What a reply is worth.
-enum Worth {
+/// How a reply may be used.
+enum ReplyClass {
     Part,
     Failure,
     NotRun,
     Misdirected,
-    Nothing(&'static str),
+    Unusable(&'static str),
 }
 
-fn worth(mark: &Mark, message: &Message, response: &Response<Bytes>) -> Worth {
-    match mark.ran {
-        Ran::Misdirected => return Worth::Misdirected,
-        Ran::No => return Worth::NotRun,
-        Ran::Maybe => {}
+fn reply_class(info: &ReplyInfo, message: &Message, response: &Response<Bytes>) -> ReplyClass {
+    match info.executed {
+        Executed::Misdirected => return ReplyClass::Misdirected,
+        Executed::No => return ReplyClass::NotRun,
+        Executed::Maybe => {}
     }
-    if mark.id.as_ref().is_some_and(|id| *id != message.id) {
-        return Worth::Nothing("answers another request");
+    if info.id.as_ref().is_some_and(|id| *id != message.id) {
+        return ReplyClass::Unusable("reply to another request");
     }
     if response.headers().contains_key(header::CONTENT_ENCODING) {
-        return Worth::Nothing("encoded on the way");
+        return ReplyClass::Unusable("reply encoded in transit");
     }
-    if mark.signature.is_none() {
-        return Worth::Nothing("not signed");
+    if info.signature.is_none() {
+        return ReplyClass::Unusable("reply not signed");
     }
     match response.status() {
-        status if status.is_success() => Worth::Part,
-        StatusCode::CONTINUE | StatusCode::SWITCHING_PROTOCOLS => Worth::Nothing("not final"),
-        _ => Worth::Failure,
+        status if status.is_success() => ReplyClass::Part,
+        StatusCode::CONTINUE | StatusCode::SWITCHING_PROTOCOLS => {
+            ReplyClass::Unusable("status not final")
+        }
+        _ => ReplyClass::Failure,
     }
 }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -1,17 +1,17 @@
-//! Learning what is published, from the service or from another host, and passing it on.
+//! Follows published state, from the configuration service or from another host, and forwards it.
 
-mod ask;
+mod freshness;
+pub mod serve;
 mod service;
-pub mod tell;
 
 use crate::dialect::Dialect;
+use crate::feed_wire::Frame;
 use crate::frame;
 use crate::frame::Reader;
 use crate::host::Host;
 use crate::metric;
-use crate::notice::Frame;
 use crate::source::Source;
-use ask::Inquiry;
+use freshness::FreshnessCheck;
 use http::Request;
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
@@ -32,55 +32,59 @@
 use tracing::info;
 use tracing::warn;
 
-/// Path of these requests; the revision that the follower knows comes after it.
+/// Path prefix of feed requests, followed by the revision that the follower has.
 pub const PATH: &str = "/v3/feed/";
 
-/// How long a process that starts waits for other hosts to turn up before it reads by itself: many
-/// round trips. Callers wait for it too when a whole fleet starts anew.
-const JOIN: Duration = Duration::from_millis(120);
+/// Time that a starting process waits to discover other hosts before it reads the service itself:
+/// many round trips. When a whole fleet cold-starts, callers wait for it too.
+const JOIN_WAIT: Duration = Duration::from_millis(120);
 
-/// How long a process that knows nothing follows a host that knows nothing either: as long as that
-/// one takes to join and to read everything.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time that a process without state follows a host that has none either: as long as that host
+/// takes to join and to read everything.
+const BOOTSTRAP_WAIT: Duration = Duration::from_millis(500);
 
-/// Time to take in one message beyond which its size is logged.
+/// Transfer time of one message from which its size is logged.
 const SLOW_MESSAGE: Duration = Duration::from_millis(100);
 
-/// Why an origin is left.
-enum Left {
-    /// It failed, or its knowledge can't be relied on.
+/// Why this host stops following an origin.
+enum LeaveReason {
+    /// It failed, or its state can't be relied on.
     Failed(Error),
-    /// The best one should be tried again.
-    Again,
+    /// The highest-ranked origin should be tried again.
+    Retry,
 }
 
-/// Learns until the process is over.
+/// Follows published state until the process ends.
 pub async fn follow<D, S>(host: Rc<Host<D, S>>)
 where
     D: Dialect,
     S: Source,
 {
-    tokio::time::sleep(JOIN).await;
+    tokio::time::sleep(JOIN_WAIT).await;
     let mut search = Search::default();
     loop {
-        let order = order(&host, search.round());
-        let next = search.next(&order, host.news.urgency(host.age()), host.now());
+        let order = rank_origins(&host, search.round());
+        let next = search.next(&order, host.freshness.urgency(host.age()), host.now());
         let Next::Try { origin, until } = next else {
-            let pause = host.news.rest().mul_f64(rand::rng().random_range(0.5..1.0));
+            let pause = host
+                .freshness
+                .rest()
+                .mul_f64(rand::rng().random_range(0.5..1.0));
             tokio::time::sleep(pause).await;
             continue;
         };
         host.origin.replace(Some(origin.clone()));
-        let left = match &origin {
-            Origin::Service => service::service(&host, until).await,
-            Origin::Host(name) => subscribe(&host, name, until).await,
+        let reason = match &origin {
+            Origin::Service => service::follow_service(&host, until).await,
+            Origin::Host(name) => follow_host(&host, name, until).await,
         };
         host.origin.replace(None);
-        let Left::Failed(error) = left else {
+        let LeaveReason::Failed(error) = reason else {
             search.left(&origin, search::Left::Again, host.now());
             continue;
         };
-        host.board.count(metric::ORIGINS_LOST, kind(&origin));
+        host.metrics
+            .count(metric::ORIGINS_LOST, origin_kind(&origin));
         warn!(
             event = "origin",
             ?origin,
@@ -90,28 +94,29 @@
         );
         search.left(&origin, search::Left::Failed, host.now());
         if origin == Origin::Service {
-            host.note_away(Duration::ZERO);
-            // Followers would find out by the age of its knowledge, two thirds of the bound later.
-            host.steady.set(false);
+            host.record_outage(Duration::ZERO);
+            // Otherwise followers would detect this only by the age of its state, two thirds of the
+            // bound later.
+            host.origin_reachable.set(false);
             host.changed.send_modify(|count| *count += 1);
         }
     }
 }
 
-/// The kind of an origin, in metrics.
-fn kind(origin: &Origin) -> &'static str {
+/// Metric label of an origin's kind.
+fn origin_kind(origin: &Origin) -> &'static str {
     match origin {
         Origin::Service => "service",
         Origin::Host(_) => "host",
     }
 }
 
-fn order<D, S>(host: &Host<D, S>, round: usize) -> Vec<Origin>
+fn rank_origins<D, S>(host: &Host<D, S>, round: usize) -> Vec<Origin>
 where
     D: Dialect,
     S: Source,
 {
-    let me = Candidate {
+    let own = Candidate {
         host: host.name.clone(),
         domain: host.domain.clone(),
     };
@@ -123,159 +128,173 @@
             domain: m.domain.clone(),
         })
         .collect();
-    // Without relays the first host of a failure domain tells all others of it.
+    // Without relays, the first host of a failure domain serves all other hosts of it.
     let fan = if host.is_on(Mechanism::Relays) {
         follow::FAN
     } else {
         usize::MAX
     };
-    follow::order(&me, &others, fan, round)
+    follow::order(&own, &others, fan, round)
 }
 
-/// Whether the origin is to be left for a better one.
-fn is_over<D, S>(host: &Host<D, S>, origin: &Origin, until: Option<Time>) -> bool
+/// Whether to leave the origin: at the time `until`, or else once another one ranks first.
+fn should_leave<D, S>(host: &Host<D, S>, origin: &Origin, until: Option<Time>) -> bool
 where
     D: Dialect,
     S: Source,
 {
     match until {
         Some(until) => host.now() >= until,
-        None => order(host, 0).first() != Some(origin),
+        None => rank_origins(host, 0).first() != Some(origin),
     }
 }
 
-/// Follows another host.
-async fn subscribe<D, S>(host: &Host<D, S>, name: &id::Host, until: Option<Time>) -> Left
+/// Follows another host until its feed fails or a better origin is available.
+async fn follow_host<D, S>(host: &Host<D, S>, name: &id::Host, until: Option<Time>) -> LeaveReason
 where
     D: Dialect,
     S: Source,
 {
     let origin = Origin::Host(name.clone());
-    let began = host.now();
-    let (inquiry, questions) = Inquiry::start(host.clock, name, host.news.heartbeat());
-    let mut reader = match open(host, name, questions).await {
+    let started = host.now();
+    let (check, queries) = FreshnessCheck::start(host.clock, name, host.freshness.heartbeat());
+    let mut reader = match open_feed(host, name, queries).await {
         Ok(reader) => reader,
-        Err(error) => return Left::Failed(error),
+        Err(error) => return LeaveReason::Failed(error),
     };
-    let mut allowed = None;
+    let mut max_age = None;
     loop {
-        if is_over(host, &origin, until) {
-            return Left::Again;
+        if should_leave(host, &origin, until) {
+            return LeaveReason::Retry;
         }
-        let frame = match next_frame(host, &mut reader, allowed).await {
+        let frame = match next_frame(host, &mut reader, max_age).await {
             Ok(frame) => frame,
-            Err(error) => return Left::Failed(error),
+            Err(error) => return LeaveReason::Failed(error),
         };
         let size = reader.last();
-        if frame.news.is_some() {
-            note_size(host, name, size);
+        if frame.update.is_some() {
+            record_size(host, name, size);
         }
-        let way = frame.way.join(" ");
-        if let Err(error) = hear(host, name, frame, &inquiry) {
-            return Left::Failed(error);
+        let path = frame.path.join(" ");
+        if let Err(error) = apply_frame(host, name, frame, &check) {
+            return LeaveReason::Failed(error);
         }
-        if allowed.is_none() {
+        if max_age.is_none() {
             let age_ms = host.age().map(|age| age.as_millis() as u64);
-            info!(event = "origin", ?origin, way, age_ms, "followed");
+            info!(event = "origin", ?origin, way = path, age_ms, "followed");
         }
-        let patient = host.age().is_none() && host.now() < began + PATIENCE;
-        // That a message was long under way is not the origin's fault.
-        let most = host.news.stale() + size.took;
-        if !patient && host.age().is_none_or(|age| age > most) {
-            return Left::Failed(too_old(host, name));
+        let is_bootstrapping = host.age().is_none() && host.now() < started + BOOTSTRAP_WAIT;
+        // A long transfer is not the origin's fault.
+        let age_limit = host.freshness.stale() + size.took;
+        if !is_bootstrapping && host.age().is_none_or(|age| age > age_limit) {
+            return LeaveReason::Failed(stale_error(host, name));
         }
-        allowed = Some(most);
+        max_age = Some(age_limit);
     }
 }
 
-/// The next message of an origin, unless it falls silent, or what is believed gets older than `allowed` before
-/// the message begins; the first one may come however old that is.
+/// Reads the next message of an origin. Fails if the origin falls silent, or if this host's state
+/// becomes older than `max_age` before the message begins; the first message, without `max_age`,
+/// may come however old the state is.
 async fn next_frame<D, S>(
     host: &Host<D, S>,
     reader: &mut Reader<Frame>,
-    allowed: Option<Duration>,
+    max_age: Option<Duration>,
 ) -> Result<Frame>
 where
     D: Dialect,
     S: Source,
 {
-    let patience = match allowed {
-        Some(_) => host.news.frame(),
-        None => host.news.open(),
+    let silence = match max_age {
+        Some(_) => host.freshness.frame(),
+        None => host.freshness.open(),
     };
-    if let (Some(allowed), Some(age)) = (allowed, host.age()) {
-        let left = allowed.saturating_sub(age);
-        match tokio::time::timeout(left, reader.next(patience)).await {
+    if let (Some(max_age), Some(age)) = (max_age, host.age()) {
+        let remaining = max_age.saturating_sub(age);
+        match tokio::time::timeout(remaining, reader.next(silence)).await {
             Ok(frame) => return frame,
-            Err(_) if !reader.is_amid() => return Err(too_old(host, reader.peer())),
+            Err(_) if !reader.is_mid_message() => return Err(stale_error(host, reader.peer())),
             Err(_) => {}
         }
     }
-    let frame = tokio::time::timeout(host.news.bound, reader.next(patience)).await;
-    let slow = "a message took longer than the bound";
-    frame.unwrap_or_else(|_| Err(Error::new(Step::Read, reader.peer(), slow)))
+    let frame = tokio::time::timeout(host.freshness.bound, reader.next(silence)).await;
+    let cause = "message took longer than the freshness bound";
+    frame.unwrap_or_else(|_| Err(Error::new(Step::Read, reader.peer(), cause)))
 }
 
-fn too_old<D, S>(host: &Host<D, S>, origin: &str) -> Error
+fn stale_error<D, S>(host: &Host<D, S>, origin: &str) -> Error
 where
     D: Dialect,
     S: Source,
 {
     let age = host.age().unwrap_or_default();
-    Error::new(Step::Check, origin, format!("knowledge is {age:?} old"))
+    Error::new(
+        Step::Check,
+        origin,
+        format!("published state is {age:?} old"),
+    )
 }
 
-/// Counts what was told, and logs what took long: links that are full show here.
-fn note_size<D, S>(host: &Host<D, S>, name: &id::Host, size: frame::Size)
+/// Counts the bytes of a received update, and logs a slow transfer: saturated links show here.
+fn record_size<D, S>(host: &Host<D, S>, name: &id::Host, size: frame::MessageSize)
 where
     D: Dialect,
     S: Source,
 {
-    host.board.add(metric::NEWS_HEARD, size.bytes as u64);
+    host.metrics
+        .add(metric::UPDATE_BYTES_RECEIVED, size.bytes as u64);
     if size.took >= SLOW_MESSAGE {
         let took_ms = size.took.as_millis() as u64;
         info!(event = "news", from = %name, bytes = size.bytes, took_ms, "heard");
     }
 }
 
-/// Takes in what another host tells, unless its knowledge can't be relied on.
-fn hear<D, S>(host: &Host<D, S>, name: &id::Host, frame: Frame, inquiry: &Inquiry) -> Result<()>
+/// Applies a message of another host, unless its state can't be relied on.
+fn apply_frame<D, S>(
+    host: &Host<D, S>,
+    name: &id::Host,
+    frame: Frame,
+    check: &FreshnessCheck,
+) -> Result<()>
 where
     D: Dialect,
     S: Source,
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
-    let told: Vec<id::Host> = frame.way.iter().map(|host| host.as_str().into()).collect();
-    let way = Way::through(&told, &host.name).map_err(|refused| fail(&refused))?;
-    let heard = inquiry.hear(frame.answers);
-    heard.map_err(|unasked| fail(&unasked))?;
-    let is_proved = host.is_on(Mechanism::Proofs);
+    let sender_path: Vec<id::Host> = frame.path.iter().map(|host| host.as_str().into()).collect();
+    let path = Way::through(&sender_path, &host.name).map_err(|refused| fail(&refused))?;
+    let recorded = check.record_answer(frame.answered_query);
+    recorded.map_err(|unknown| fail(&unknown))?;
+    let is_checked = host.is_on(Mechanism::Proofs);
     let age = |ms: u32| {
-        let told = Duration::from_millis(ms.into());
-        match is_proved {
-            true => inquiry.age(host.now(), told),
-            false => told,
+        let sent_age = Duration::from_millis(ms.into());
+        match is_checked {
+            true => check.age(host.now(), sent_age),
+            false => sent_age,
         }
     };
-    if let Some(away_ms) = frame.away_ms {
-        host.note_away(age(away_ms));
+    if let Some(away_ms) = frame.outage_age_ms {
+        host.record_outage(age(away_ms));
     }
     if let Some(age_ms) = frame.age_ms {
-        let news = frame.news.map(|content| content.news(name)).transpose()?;
-        host.learn(news, age(age_ms));
+        let update = frame
+            .update
+            .map(|content| content.decode(name))
+            .transpose()?;
+        host.apply_update(update, age(age_ms));
     }
-    if !frame.steady && host.age().is_some() {
-        return Err(fail(&"its origin is lost"));
+    if !frame.origin_reachable && host.age().is_some() {
+        return Err(fail(&"its own origin is lost"));
     }
-    host.steady.set(true);
-    host.take_way(way);
+    host.origin_reachable.set(true);
+    host.set_path(path);
     Ok(())
 }
 
-async fn open<D, S>(
+async fn open_feed<D, S>(
     host: &Host<D, S>,
     name: &id::Host,
-    questions: frame::Body,
+    queries: frame::Body,
 ) -> Result<Reader<Frame>>
 where
     D: Dialect,
@@ -283,15 +302,16 @@
 {
     let address = host.swim.borrow().table().get(name).map(|m| m.address);
     let fail = |cause: &str| Error::new(Step::Connect, name, cause);
-    let address = address.ok_or_else(|| fail("host is not known"))?;
+    let address = address.ok_or_else(|| fail("host is unknown"))?;
     let after = host.catalog.borrow().revision();
-    let mut request = Request::new(questions);
+    let mut request = Request::new(queries);
     *request.method_mut() = http::Method::POST;
     let uri = format!("http://host{PATH}{after}");
-    *request.uri_mut() = uri.parse().map_err(|_| fail("path can't be sent"))?;
-    let sent = tokio::time::timeout(host.news.open(), host.peers.stream(address, request)).await;
-    let response = sent.map_err(|_| {
-        // A connection can be silent for good while a new one works.
+    *request.uri_mut() = uri.parse().map_err(|_| fail("invalid path"))?;
+    let response =
+        tokio::time::timeout(host.freshness.open(), host.peers.stream(address, request)).await;
+    let response = response.map_err(|_| {
+        // A connection can stay silent forever while a new one works.
         host.peers.drop_connection(address);
         fail("timed out")
     })??;
--- a/crates/lentillift-gateway/src/notice.rs
+++ b/crates/lentillift-gateway/src/feed_wire.rs
@@ -1,4 +1,4 @@
-//! What a follower asks and is told, as it stands on the wire.
+//! Wire format of the feed: freshness queries of followers and messages to them.
 
 use crate::frame;
 use crate::pack::Packed;
@@ -8,30 +8,32 @@
 use lentillift_scatter::source::Item;
 use lentillift_scatter::source::Update;
 
-/// A question of a follower whether it knows all that its origin does, as it stands on the wire.
+/// A follower's query whether its state is still complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub(crate) struct Question {
+pub(crate) struct FreshnessQuery {
     pub(crate) number: u32,
 }
 
-/// One message to a follower, as it stands on the wire.
+/// One message of an origin to a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Frame {
-    /// The last question that had arrived when this was written; 0 before the first.
-    pub(crate) answers: u32,
-    /// Age of the sender's knowledge when this was written; none if it has none.
+    /// Number of the last query that had arrived when this message was written; 0 before the first.
+    pub(crate) answered_query: u32,
+    /// Age of the sender's state when this message was written, in milliseconds; none if it has no
+    /// state.
     pub(crate) age_ms: Option<u32>,
-    /// Whether the sender reaches its origin, as far as it knows.
-    pub(crate) steady: bool,
-    /// Hosts over which the sender's knowledge came, the one that read the service first and the sender
-    /// last; empty if it has none.
-    pub(crate) way: Vec<String>,
-    /// Time since the service was last known to be away; none if it never was.
-    pub(crate) away_ms: Option<u32>,
-    pub(crate) news: Option<Content>,
+    /// Whether the sender reaches its own origin, as far as it knows.
+    pub(crate) origin_reachable: bool,
+    /// Hosts through which the sender's state came, from the one that read it from the service to
+    /// the sender; empty if it has no state.
+    pub(crate) path: Vec<String>,
+    /// Time since the configuration service was last known to be unavailable, in milliseconds; none
+    /// if it never was.
+    pub(crate) outage_age_ms: Option<u32>,
+    pub(crate) update: Option<Content>,
 }
 
-/// A [`Notice`], encoded; see [`Packed`].
+/// An encoded [`WireUpdate`], compressed or not; see [`Packed`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum Content {
     Plain(Vec<u8>),
@@ -39,13 +41,13 @@
 }
 
 impl Content {
-    /// `news` on its way to `peer`, packed or as it is.
+    /// Encodes `update` for `peer`, and compresses it if `is_packed`.
     ///
     /// # Errors
     ///
     /// When it can't be encoded.
-    pub(crate) fn of(news: Update, is_packed: bool, peer: &str) -> Result<Self> {
-        let encoded = frame::encode(&Notice::from(news), peer)?.to_vec();
+    pub(crate) fn encode(update: Update, is_packed: bool, peer: &str) -> Result<Self> {
+        let encoded = frame::encode(&WireUpdate::from(update), peer)?.to_vec();
         let packed = match is_packed {
             true => Packed::pack(encoded),
             false => Packed::Plain(encoded),
@@ -53,15 +55,15 @@
         Ok(packed.into())
     }
 
-    /// What `peer` told.
+    /// Decodes an update received from `peer`.
     ///
     /// # Errors
     ///
     /// When it is malformed.
-    pub(crate) fn news(self, peer: &str) -> Result<Update> {
+    pub(crate) fn decode(self, peer: &str) -> Result<Update> {
         let encoded = Packed::from(self).unpack(peer)?;
-        let notice: Notice = frame::decode(&encoded, peer)?;
-        Ok(notice.into())
+        let update: WireUpdate = frame::decode(&encoded, peer)?;
+        Ok(update.into())
     }
 }
 
@@ -83,14 +85,14 @@
     }
 }
 
-/// See [`News`].
+/// Wire form of [`Update`]: the revision and the items.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub(crate) enum Notice {
+pub(crate) enum WireUpdate {
     All(u64, Vec<Entry>),
     Changes(u64, Vec<Entry>),
 }
 
-/// See [`Item`].
+/// Wire form of [`Item`]: its key, revision and value; no value if it was deleted.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Entry(String, u64, Option<Vec<u8>>);
 
@@ -110,25 +112,25 @@
     }
 }
 
-impl From<Update> for Notice {
-    fn from(news: Update) -> Self {
+impl From<Update> for WireUpdate {
+    fn from(update: Update) -> Self {
         let entries = |items: Vec<Item>| items.into_iter().map(Entry::from).collect();
-        match news {
+        match update {
             Update::All { revision, items } => Self::All(revision, entries(items)),
             Update::Changes { revision, items } => Self::Changes(revision, entries(items)),
         }
     }
 }
 
-impl From<Notice> for Update {
-    fn from(notice: Notice) -> Self {
+impl From<WireUpdate> for Update {
+    fn from(update: WireUpdate) -> Self {
         let items = |entries: Vec<Entry>| entries.into_iter().map(Item::from).collect();
-        match notice {
-            Notice::All(revision, entries) => Self::All {
+        match update {
+            WireUpdate::All(revision, entries) => Self::All {
                 revision,
                 items: items(entries),
             },
-            Notice::Changes(revision, entries) => Self::Changes {
+            WireUpdate::Changes(revision, entries) => Self::Changes {
                 revision,
                 items: items(entries),
             },
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -1,17 +1,17 @@
-//! Callers' connections.
+//! Front end: callers' connections and requests.
 
-use crate::dialect::Ask;
 use crate::dialect::Dialect;
-use crate::ending::Ending;
+use crate::dialect::RequestInfo;
 use crate::host::Host;
 use crate::host::Stage;
-use crate::listen::accepted;
+use crate::listen::accept_with_retry;
 use crate::message;
 use crate::message::Message;
 use crate::metric;
 use crate::part::Content;
-use crate::part::Done;
-use crate::pool::tune;
+use crate::part::RequestResult;
+use crate::pool::set_socket_options;
+use crate::request_log::RequestLog;
 use crate::run;
 use crate::source::Source;
 use bytes::Bytes;
@@ -50,84 +50,88 @@
 use tracing::info;
 use twox_hash::XxHash64;
 
-/// Limits that hold until a configuration is known.
-const FIRST_LIMITS: Limits = Limits {
+/// Limits before the first configuration.
+const INITIAL_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 256 * 1024,
     head_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
 
-/// When a caller should come back that met a host without a configuration: another host has one.
-const RETRY_UNREADY: Duration = Duration::from_millis(50);
+/// `Retry-After` of a host without a configuration: another host has one.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// How long a caller waits that does not say so, before its route is known.
-const UNKNOWN_PATIENCE: Duration = Duration::from_secs(1);
+/// Assumed time limit of a caller that specifies none, before its route is known.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Least buffer that the HTTP library takes, in bytes.
-const LEAST_BUFFER: usize = 8192;
+/// Smallest buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Serves callers until the process is over, at most `most` connections at a time.
+/// Serves callers until the process closes its listeners, with at most `max_connections` at a time.
 ///
-/// Without the bound, callers' connections could take all file descriptors, and no backend server or
-/// other host could be reached any more. What comes beyond waits in the listener's queue.
-pub async fn serve<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, most: usize)
+/// Without this limit, callers' connections could take all file descriptors, and no backend server
+/// or other host could be reached. Further connections wait in the listener's backlog.
+pub async fn serve<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, max_connections: usize)
 where
     D: Dialect,
     S: Source,
 {
     let mut stage = host.stage.subscribe();
-    let places = Arc::new(Semaphore::new(most));
+    let permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
-            accepted = accept(&listener, &places) => accepted,
+            accepted = accept(&listener, &permits) => accepted,
             _ = stage.wait_for(|stage| *stage >= Stage::Closing) => return,
         };
-        let Some((stream, place)) = accepted else {
+        let Some((stream, permit)) = accepted else {
             return;
         };
-        host.board.count(metric::CALLERS, "taken");
+        host.metrics.count(metric::CALLERS, "taken");
         let host = host.clone();
         tokio::task::spawn_local(async move {
-            host.callers.set(host.callers.get() + 1);
+            host.caller_connections
+                .set(host.caller_connections.get() + 1);
             connection(host.clone(), stream).await;
-            host.callers.set(host.callers.get() - 1);
-            drop(place);
+            host.caller_connections
+                .set(host.caller_connections.get() - 1);
+            drop(permit);
         });
     }
 }
 
-/// Accepts a connection once there is a place for it; none if no places are given out any more.
+/// Accepts a connection once a permit is available; none once the semaphore is closed.
 async fn accept(
     listener: &TcpListener,
-    places: &Arc<Semaphore>,
+    permits: &Arc<Semaphore>,
 ) -> Option<(TcpStream, OwnedSemaphorePermit)> {
-    let place = places.clone().acquire_owned().await.ok()?;
-    Some((accepted(listener).await, place))
+    let permit = permits.clone().acquire_owned().await.ok()?;
+    Some((accept_with_retry(listener).await, permit))
 }
 
 fn limits<D, S>(host: &Host<D, S>) -> Limits {
     let core = host.core.borrow();
-    core.view.as_ref().map_or(FIRST_LIMITS, |v| v.config.limits)
+    core.view
+        .as_ref()
+        .map_or(INITIAL_LIMITS, |v| v.config.limits)
 }
 
-/// Serves one connection; its error concerns nobody but its caller.
+/// Serves one connection. Its errors affect only its caller.
 async fn connection<D, S>(host: Rc<Host<D, S>>, stream: TcpStream)
 where
     D: Dialect,
     S: Source,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let limits = limits(&host);
     let mut stage = host.stage.subscribe();
     let shared = host.clone();
     let caller = Rc::new(Cell::new(Caller::default()));
     let service = service_fn(move |request| respond(shared.clone(), caller.clone(), request));
-    // The library's one timeout covers the wait for a request as well as its head.
+    // The library has a single timeout for the wait for a request and for its head.
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
@@ -136,7 +140,7 @@
     };
     if ended.is_none() {
         connection.as_mut().graceful_shutdown();
-        // Its error concerns its caller alone.
+        // An error affects only this caller.
         let _ = connection.await;
     }
 }
@@ -158,13 +162,13 @@
     Ok(response.map(Full::new))
 }
 
-/// The caller's request, once it is read and its route is known.
-struct Arrived {
+/// A caller's request, read completely, with its route.
+struct ParsedRequest {
     message: Message,
     route: Arc<Route>,
     view: Arc<View>,
     authority: Rc<str>,
-    left: Duration,
+    timeout: Duration,
 }
 
 async fn answer<D, S>(
@@ -177,16 +181,16 @@
     S: Source,
 {
     let arrived = host.now();
-    let read = match read(host, request).await {
+    let read = match read_request(host, request).await {
         Ok(read) => read,
         Err(response) => return response,
     };
-    let Arrived {
+    let ParsedRequest {
         message,
         route,
         view,
         authority,
-        left,
+        timeout: left,
     } = read;
     let services = match &route.target {
         Target::Scatter(scatter) => scatter.shards.to_vec(),
@@ -205,16 +209,17 @@
     let fingerprint = message.fingerprint;
     let done = run::run(host, plan, Rc::new(message), authority).await;
     let took = host.now().saturating_sub(arrived);
-    let (outcome, response) = conclude(host, &route, &done);
-    host.board.count(metric::REQUESTS, outcome);
+    let (outcome, response) = build_response(host, &route, &done);
+    host.metrics.count(metric::REQUESTS, outcome);
     let labels = [("route", &*route.name), ("kind", outcome)];
-    host.board.time(metric::REQUEST_SECONDS, &labels, took);
+    host.metrics.observe(metric::REQUEST_SECONDS, &labels, took);
     if done.unpaid > 0 {
-        host.board.add(metric::UNPAID, done.unpaid.into());
+        host.metrics
+            .add(metric::REPEATS_REFUSED, done.unpaid.into());
     }
     let late = took > route.objective;
     if late || outcome != "whole" || done.repeats > 0 || is_sampled(&id) {
-        let ending = Ending {
+        let request_log = RequestLog {
             id,
             fingerprint,
             route,
@@ -227,50 +232,50 @@
             age: host.age().unwrap_or_default(),
             done,
         };
-        // The line is written once the answer has left.
-        tokio::task::spawn_local(async move { ending.tell() });
+        // Logged in a task of its own, so that the response is sent first.
+        tokio::task::spawn_local(async move { request_log.log() });
     }
     response
 }
 
-/// One in this many ordinary requests is logged, chosen by its id, so that all hosts that had a part
-/// in it keep it.
-const SAMPLE: u64 = 64;
+/// Sampling interval of ordinary requests in the log. Sampling is by request id, so that all hosts
+/// that took part in a request log it.
+const SAMPLE_INTERVAL: u64 = 64;
 
 fn is_sampled(id: &str) -> bool {
-    XxHash64::oneshot(0, id.as_bytes()).is_multiple_of(SAMPLE)
+    XxHash64::oneshot(0, id.as_bytes()).is_multiple_of(SAMPLE_INTERVAL)
 }
 
-/// Reads a request whole and finds its route, or says what to answer without.
-async fn read<D, S>(
+/// Reads a request completely and finds its route. An error is the response to send instead.
+async fn read_request<D, S>(
     host: &Rc<Host<D, S>>,
     request: Request<Incoming>,
-) -> Result<Arrived, Response<Bytes>>
+) -> Result<ParsedRequest, Response<Bytes>>
 where
     D: Dialect,
     S: Source,
 {
     let (mut head, body) = request.into_parts();
-    let ask = host.dialect.ask(&head);
-    let most = ask.patience.unwrap_or(UNKNOWN_PATIENCE) / 2;
-    host.catch_up(most).await;
+    let info = host.dialect.parse_request(&head);
+    let limit = info.timeout.unwrap_or(DEFAULT_TIMEOUT) / 2;
+    host.catch_up(limit).await;
     let view = host.core.borrow().view.clone();
     let Some(view) = view else {
-        turned_away(host, &ask, "no configuration yet");
-        return Err(refusal(RETRY_UNREADY));
+        log_turned_away(host, &info, "no configuration yet");
+        return Err(unavailable(UNREADY_RETRY_AFTER));
     };
     let named = head.headers.get(header::HOST);
     let authority = named
         .and_then(|host| host.to_str().ok())
         .unwrap_or_default();
     let authority: Rc<str> = authority.into();
-    let Some(found) = find(view, &authority, head.uri.path()) else {
-        turned_away(host, &ask, "no such route");
+    let Some(found) = find_route(view, &authority, head.uri.path()) else {
+        log_turned_away(host, &info, "no such route");
         return Err(status(StatusCode::NOT_FOUND));
     };
     let limits = found.view.config.limits;
     let body = Limited::new(body, limits.body_bytes).collect();
-    let left = ask.patience.unwrap_or(found.route.timeout);
+    let left = info.timeout.unwrap_or(found.route.timeout);
     let body = match tokio::time::timeout(left, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         failed => {
@@ -281,15 +286,16 @@
                 Ok(_) => (StatusCode::BAD_REQUEST, "body cut off"),
                 Err(_) => (StatusCode::REQUEST_TIMEOUT, "body too slow"),
             };
-            turned_away(host, &ask, why);
+            log_turned_away(host, &info, why);
             return Err(status(code));
         }
     };
-    // The body may have taken long. A route that has gone meanwhile was there when the request came.
+    // The configuration may have changed while the body arrived. A route that is gone by now
+    // existed when the request came, and is still used.
     let view = host.core.borrow().view.clone();
-    let latest = view.and_then(|view| find(view, &authority, head.uri.path()));
-    let Found { view, route } = latest.unwrap_or(found);
-    message::strip(&mut head.headers);
+    let latest = view.and_then(|view| find_route(view, &authority, head.uri.path()));
+    let RouteMatch { view, route } = latest.unwrap_or(found);
+    message::strip_hop_by_hop(&mut head.headers);
     let path = match head.uri.path_and_query() {
         Some(path) => Uri::from(path.clone()),
         None => Uri::from_static("/"),
@@ -300,40 +306,40 @@
         path,
         headers: head.headers,
         body,
-        id: ask.id.unwrap_or_default(),
+        id: info.id.unwrap_or_default(),
         fingerprint,
     };
-    Ok(Arrived {
+    Ok(ParsedRequest {
         message,
         route,
         view,
         authority,
-        left,
+        timeout: left,
     })
 }
 
-/// The route of a request, and the picture that has it.
-struct Found {
+/// A route, and the view that contains it.
+struct RouteMatch {
     view: Arc<View>,
     route: Arc<Route>,
 }
 
-/// The route for `path` at the host that the caller names.
-fn find(view: Arc<View>, authority: &str, path: &str) -> Option<Found> {
+/// Finds the route for `path` at the caller's `authority`.
+fn find_route(view: Arc<View>, authority: &str, path: &str) -> Option<RouteMatch> {
     let route = view.config.route(authority, path)?.clone();
-    Some(Found { view, route })
+    Some(RouteMatch { view, route })
 }
 
-/// Puts a request into the log that was answered without being sent anywhere.
-fn turned_away<D, S>(host: &Host<D, S>, ask: &Ask, why: &'static str)
+/// Logs and counts a request that was answered without being sent anywhere.
+fn log_turned_away<D, S>(host: &Host<D, S>, info: &RequestInfo, why: &'static str)
 where
     D: Dialect,
     S: Source,
 {
-    host.board.count(metric::REQUESTS, "turned away");
+    host.metrics.count(metric::REQUESTS, "turned away");
     info!(
         event = "request",
-        id = ask.id.as_deref().unwrap_or_default(),
+        id = info.id.as_deref().unwrap_or_default(),
         outcome = "turned away",
         why,
         age_ms = host.age().map_or(0, |age| age.as_millis() as u64),
@@ -341,8 +347,12 @@
     );
 }
 
-/// The answer, and a word for it in logs and counters.
-fn conclude<D, S>(host: &Host<D, S>, route: &Route, done: &Done) -> (&'static str, Response<Bytes>)
+/// Builds the response, and its outcome label for logs and metrics.
+fn build_response<D, S>(
+    host: &Host<D, S>,
+    route: &Route,
+    done: &RequestResult,
+) -> (&'static str, Response<Bytes>)
 where
     D: Dialect,
 {
@@ -351,17 +361,22 @@
             let outcome = if *missing == 0 { "whole" } else { "partial" };
             (outcome, merge(host, scatter.records, done, *missing))
         }
-        (Next::Answer { .. }, Target::Split(_)) => ("whole", pass(done)),
-        (Next::Pass(_), _) => ("failure", pass(done)),
-        (Next::Refuse(after), _) => ("refused", refusal(*after)),
-        (Next::Quarantine(after), _) => ("quarantined", refusal(*after)),
+        (Next::Answer { .. }, Target::Split(_)) => ("whole", pass_through(done)),
+        (Next::Pass(_), _) => ("failure", pass_through(done)),
+        (Next::Refuse(after), _) => ("refused", unavailable(*after)),
+        (Next::Quarantine(after), _) => ("quarantined", unavailable(*after)),
         (Next::Timeout, _) => ("timeout", status(StatusCode::GATEWAY_TIMEOUT)),
         (Next::Fail | Next::Wait(_), _) => ("failed", status(StatusCode::BAD_GATEWAY)),
     }
 }
 
-/// An answer merged from parts.
-fn merge<D, S>(host: &Host<D, S>, limit: usize, done: &Done, missing: usize) -> Response<Bytes>
+/// Merges the records of the parts into one response.
+fn merge<D, S>(
+    host: &Host<D, S>,
+    limit: usize,
+    done: &RequestResult,
+    missing: usize,
+) -> Response<Bytes>
 where
     D: Dialect,
 {
@@ -370,19 +385,19 @@
     let signatures = done.parts.iter().flat_map(|part| part.signatures());
     let signatures: Vec<Box<str>> = signatures.collect();
     host.dialect
-        .merged(response.headers_mut(), &signatures, missing);
+        .set_merged_headers(response.headers_mut(), &signatures, missing);
     response
 }
 
-/// A backend server's reply as it is.
-fn pass(done: &Done) -> Response<Bytes> {
+/// Forwards a backend server's reply without its hop-by-hop headers.
+fn pass_through(done: &RequestResult) -> Response<Bytes> {
     let Some(Content::Reply(reply)) = done.parts.first().map(|part| &part.content) else {
         return status(StatusCode::BAD_GATEWAY);
     };
     let mut response = Response::new(reply.response.body().clone());
     *response.status_mut() = reply.response.status();
     *response.headers_mut() = reply.response.headers().clone();
-    message::strip(response.headers_mut());
+    message::strip_hop_by_hop(response.headers_mut());
     response
 }
 
@@ -392,8 +407,8 @@
     response
 }
 
-/// Says that the request has not run, and when to come back.
-fn refusal(after: Duration) -> Response<Bytes> {
+/// 503 with `Retry-After`: the request was not executed.
+fn unavailable(after: Duration) -> Response<Bytes> {
     let mut response = status(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{:.3}", after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners for whoever is not a caller: the balancer, operators and other hosts.
+//! Listeners for the balancer, operators and other hosts.
 
 use crate::branch;
 use crate::dialect::Dialect;
@@ -9,7 +9,7 @@
 use crate::log;
 use crate::memory;
 use crate::metric;
-use crate::pool::tune;
+use crate::pool::set_socket_options;
 use crate::quarantine;
 use crate::source::Source;
 use bytes::Bytes;
@@ -35,17 +35,18 @@
 use tokio::net::TcpStream;
 use tracing::warn;
 
-/// Pause after a failed `accept`, for example when the process is out of file descriptors.
+/// Pause after a failed `accept`, which fails for example when the process is out of file
+/// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest time to read a request of the balancer or of an operator.
-const PLAIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for reading the head of a request of the balancer or an operator.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest message of another host, in bytes.
-const MOST_BYTES: usize = 4 * 1024 * 1024;
+/// Largest request body of another host, in bytes.
+const MAX_REQUEST_BYTES: usize = 4 * 1024 * 1024;
 
-/// The next connection; a failed `accept` is tried again after a pause.
-pub(crate) async fn accepted(listener: &TcpListener) -> TcpStream {
+/// Accepts the next connection; retries after a pause if `accept` fails.
+pub(crate) async fn accept_with_retry(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
@@ -57,58 +58,58 @@
     }
 }
 
-/// Whom a listener is for.
+/// The clients that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
-    /// The balancer, which asks whether callers should be sent here.
+    /// The balancer, which polls whether callers should be sent here.
     Balancer,
-    /// Operators, who may read metrics and lift quarantines as well.
+    /// Operators, who may also read metrics, and list and lift quarantines.
     Operators,
 }
 
-/// Tells the balancer or operators how this process is.
-pub async fn plain<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, audience: Audience)
+/// Serves readiness to the balancer, or metrics and quarantines to operators.
+pub async fn serve_operations<D, S>(host: Rc<Host<D, S>>, listener: TcpListener, audience: Audience)
 where
     D: Dialect,
     S: Source,
 {
     loop {
-        let stream = accepted(&listener).await;
+        let stream = accept_with_retry(&listener).await;
         let host = host.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|request: Request<Incoming>| {
                 let response = match audience {
                     Audience::Balancer => readiness(&host),
-                    Audience::Operators => operate(&host, &request),
+                    Audience::Operators => handle_operator_request(&host, &request),
                 };
                 async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(PLAIN_TIMEOUT)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // Its error concerns nobody but the one who asked.
+            // An error affects only this client.
             let _ = connection.await;
         });
     }
 }
 
-/// All metrics, with those that are only worked out when somebody asks.
+/// Renders all metrics, after updating the gauges that are computed on demand.
 fn metrics<D, S>(host: &Host<D, S>) -> String
 where
     D: Dialect,
     S: Source,
 {
     let now = host.now();
-    let board = &host.board;
-    if let Some(bytes) = memory::resident() {
-        board.gauge(metric::MEMORY, bytes as f64);
+    let registry = &host.metrics;
+    if let Some(bytes) = memory::resident_bytes() {
+        registry.gauge(metric::MEMORY, bytes as f64);
     }
-    board.gauge(metric::FOLLOWERS, host.followers.get() as f64);
-    board.gauge(metric::LOG_DROPPED, log::all_dropped() as f64);
+    registry.gauge(metric::FOLLOWERS, host.followers.get() as f64);
+    registry.gauge(metric::LOG_DROPPED, log::all_dropped() as f64);
     let left = host.core.borrow_mut().budget_left(now);
-    board.gauge(metric::BUDGET, left);
-    board.render(now)
+    registry.gauge(metric::BUDGET, left);
+    registry.render(now)
 }
 
 fn readiness<D, S>(host: &Host<D, S>) -> Response<Full<Bytes>>
@@ -123,7 +124,10 @@
     response
 }
 
-fn operate<D, S>(host: &Host<D, S>, request: &Request<Incoming>) -> Response<Full<Bytes>>
+fn handle_operator_request<D, S>(
+    host: &Host<D, S>,
+    request: &Request<Incoming>,
+) -> Response<Full<Bytes>>
 where
     D: Dialect,
     S: Source,
@@ -135,8 +139,8 @@
         quarantine::LIST => return text(quarantine::list(host)),
         _ => {}
     }
-    let lifted = path.strip_prefix(quarantine::LIFT);
-    let Some(fingerprint) = lifted.filter(|_| request.method() == Method::DELETE) else {
+    let fingerprint = path.strip_prefix(quarantine::LIFT);
+    let Some(fingerprint) = fingerprint.filter(|_| request.method() == Method::DELETE) else {
         return readiness(host);
     };
     let mut response = Response::new(Full::default());
@@ -148,52 +152,55 @@
 
 type Body = Either<Full<Bytes>, frame::Body>;
 
-/// Serves other hosts.
-pub async fn nodes<D, S>(host: Rc<Host<D, S>>, listener: TcpListener)
+/// Accepts and serves connections of other hosts.
+pub async fn serve_hosts<D, S>(host: Rc<Host<D, S>>, listener: TcpListener)
 where
     D: Dialect,
     S: Source,
 {
     loop {
-        let stream = accepted(&listener).await;
-        tokio::task::spawn_local(node(host.clone(), stream));
+        let stream = accept_with_retry(&listener).await;
+        tokio::task::spawn_local(serve_host_connection(host.clone(), stream));
     }
 }
 
-async fn node<D, S>(host: Rc<Host<D, S>>, stream: TcpStream)
+async fn serve_host_connection<D, S>(host: Rc<Host<D, S>>, stream: TcpStream)
 where
     D: Dialect,
     S: Source,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let service = service_fn(move |request: Request<Incoming>| {
         let host = host.clone();
-        async move { Ok::<_, Infallible>(serve_node(host, request).await) }
+        async move { Ok::<_, Infallible>(handle_host_request(host, request).await) }
     });
     let connection = http2::Builder::new(Executor)
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
-    // Its error ends the peer's requests, which the peer notices.
+    // An error ends the peer's requests, and the peer sees that.
     let _ = connection.await;
 }
 
-async fn serve_node<D, S>(host: Rc<Host<D, S>>, request: Request<Incoming>) -> Response<Body>
+async fn handle_host_request<D, S>(
+    host: Rc<Host<D, S>>,
+    request: Request<Incoming>,
+) -> Response<Body>
 where
     D: Dialect,
     S: Source,
 {
     let path = request.uri().path().to_owned();
     if path == branch::PATH {
-        let body = http_body_util::Limited::new(request.into_body(), MOST_BYTES);
-        let answered = match body.collect().await {
+        let body = http_body_util::Limited::new(request.into_body(), MAX_REQUEST_BYTES);
+        let result = match body.collect().await {
             Ok(body) => branch::answer::answer(&host, &body.to_bytes()),
             Err(e) => Err(Error::new(Step::Read, "host", e)),
         };
-        return match answered {
+        return match result {
             Ok(body) => Response::new(Either::Right(body)),
             Err(error) => {
-                warn!(event = "branch", %error, "not served");
-                bad().map(Either::Left)
+                warn!(event = "branch", %error, "request of another host not served");
+                bad_request().map(Either::Left)
             }
         };
     }
@@ -203,10 +210,10 @@
     let after = path.strip_prefix(feed::PATH);
     match after.and_then(|after| after.parse().ok()) {
         Some(after) => {
-            let questions = Some(request.into_body());
-            Response::new(Either::Right(feed::tell::tell(host, after, questions)))
+            let queries = Some(request.into_body());
+            Response::new(Either::Right(feed::serve::body(host, after, queries)))
         }
-        None => bad().map(Either::Left),
+        None => bad_request().map(Either::Left),
     }
 }
 
@@ -215,21 +222,21 @@
     D: Dialect,
     S: Source,
 {
-    let body = http_body_util::Limited::new(body, MOST_BYTES);
-    let answered = match body.collect().await {
+    let body = http_body_util::Limited::new(body, MAX_REQUEST_BYTES);
+    let result = match body.collect().await {
         Ok(body) => quarantine::answer(host, &body.to_bytes()),
         Err(e) => Err(Error::new(Step::Read, "host", e)),
     };
-    match answered {
+    match result {
         Ok(answer) => Response::new(Either::Left(Full::new(answer))),
         Err(error) => {
-            warn!(event = "quarantine", %error, "not served");
-            bad().map(Either::Left)
+            warn!(event = "quarantine", %error, "quarantine exchange of another host not served");
+            bad_request().map(Either::Left)
         }
     }
 }
 
-fn bad() -> Response<Full<Bytes>> {
+fn bad_request() -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
--- a/crates/lentillift-gateway/src/member.rs
+++ b/crates/lentillift-gateway/src/member.rs
@@ -1,4 +1,4 @@
-//! Membership over datagrams.
+//! Membership protocol over UDP.
 
 use crate::dialect::Dialect;
 use crate::host::Host;
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 use tracing::info;
 
-/// Takes part in membership until the process is over.
+/// Runs the membership protocol until the process ends.
 pub async fn run<D, S>(host: Rc<Host<D, S>>, socket: Rc<UdpSocket>)
 where
     D: Dialect,
@@ -24,12 +24,12 @@
         let effects = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, _)) => receive(&host, &buffer[..length]),
-                // A peer's port was closed; the probe of it fails by its timeout.
+                // A peer's port is closed; the probe of it times out.
                 Err(_) => Vec::new(),
             },
             _ = ticks.tick() => host.swim.borrow_mut().tick(host.now()),
         };
-        act(&host, &socket, effects);
+        apply_effects(&host, &socket, effects);
     }
 }
 
@@ -41,15 +41,15 @@
     match datagram::decode(bytes) {
         Ok(packet) => host.swim.borrow_mut().packet(host.now(), packet),
         Err(error) => {
-            host.board.count(metric::MALFORMED, "datagram");
+            host.metrics.count(metric::MALFORMED, "datagram");
             tracing::debug!(event = "datagram", error, "malformed");
             Vec::new()
         }
     }
 }
 
-/// Carries out what membership decides.
-pub fn act<D, S>(host: &Host<D, S>, socket: &UdpSocket, effects: Vec<Effect>)
+/// Carries out the effects of the membership protocol.
+pub fn apply_effects<D, S>(host: &Host<D, S>, socket: &UdpSocket, effects: Vec<Effect>)
 where
     D: Dialect,
     S: Source,
@@ -58,9 +58,9 @@
     for effect in effects {
         match effect {
             Effect::Packet(address, packet) => match datagram::encode(packet) {
-                // A datagram that can't be sent now is lost like any other; probes are repeated.
+                // A datagram that can't be sent now counts as lost; probes are repeated.
                 Ok(bytes) => drop(socket.try_send_to(&bytes, address)),
-                Err(error) => info!(event = "datagram", error, "not sent"),
+                Err(error) => info!(event = "datagram", error, "datagram not encoded"),
             },
             Effect::Changed(member) => {
                 changed = true;
@@ -76,6 +76,6 @@
         }
     }
     if changed {
-        host.count_hosts();
+        host.update_hosts();
     }
 }
--- a/crates/lentillift-gateway/src/ending.rs
+++ b/crates/lentillift-gateway/src/request_log.rs
@@ -1,6 +1,6 @@
-//! How a request ended, for the log.
+//! Log line of a finished request.
 
-use crate::part::Done;
+use crate::part::RequestResult;
 use http::StatusCode;
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_scatter::config::Route;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How a request ended and what decided it, for the log.
-pub(crate) struct Ending {
+/// Result of a request and the facts that determined it.
+pub(crate) struct RequestLog {
     pub(crate) id: Box<str>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) route: Arc<Route>,
@@ -21,12 +21,12 @@
     pub(crate) left: Duration,
     pub(crate) config: Version,
     pub(crate) age: Duration,
-    pub(crate) done: Done,
+    pub(crate) done: RequestResult,
 }
 
-impl Ending {
-    /// Puts it into the log.
-    pub(crate) fn tell(&self) {
+impl RequestLog {
+    /// Writes the log line.
+    pub(crate) fn log(&self) {
         let missing = self.done.missing.iter().map(|service| &**service);
         let missing: Vec<&str> = missing.collect();
         info!(
