--- a/crates/lentillift-core/src/sub.rs
+++ b/crates/lentillift-core/src/sub.rs
@@ -29,7 +29,7 @@
 /// The part of a process that sent a sub-request and waits for its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Desk {
+pub enum Component {
     /// The part that serves queries.
     Query,
     /// The part that serves requests that may run at most once.
@@ -38,10 +38,10 @@
 
 impl Work {
     /// The part of a process that sends this kind of work.
-    pub fn desk(&self) -> Desk {
+    pub fn component(&self) -> Component {
         match self {
-            Self::Search { .. } => Desk::Query,
-            Self::Action { .. } => Desk::Once,
+            Self::Search { .. } => Component::Query,
+            Self::Action { .. } => Component::Once,
         }
     }
 }
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -2,7 +2,7 @@
 
 use lentillift_core::id;
 use lentillift_core::sub;
-use lentillift_core::sub::Desk;
+use lentillift_core::sub::Component;
 use lentillift_core::sub::Load;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
@@ -25,7 +25,7 @@
     /// An owner answers a sub-request.
     Result {
         /// The desk that sent the sub-request.
-        desk: Desk,
+        desk: Component,
         /// The sub-request's number there.
         id: id::Sub,
         /// The result.
--- a/crates/lentillift-node/src/wire.rs
+++ b/crates/lentillift-node/src/wire.rs
@@ -67,7 +67,7 @@
 }
 
 mirror! {
-    Desk of sub::Desk {
+    Desk of sub::Component {
         Query,
         Once,
     }
--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -11,7 +11,7 @@
 use crate::server::Server;
 use lentillift_core::id;
 use lentillift_core::sub;
-use lentillift_core::sub::Desk;
+use lentillift_core::sub::Component;
 use lentillift_core::sub::Failure;
 use lentillift_core::sub::Load;
 use lentillift_core::sub::Report;
@@ -103,7 +103,7 @@
         /// The host that sent the sub-request.
         to: id::Host,
         /// The desk there.
-        desk: Desk,
+        desk: Component,
         /// The sub-request's number there.
         id: id::Sub,
         /// The result.
@@ -219,7 +219,7 @@
         }
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        if waiting.sub.work.desk() == Desk::Query {
+        if waiting.sub.work.component() == Component::Query {
             let key = (waiting.from.clone(), waiting.sub.id);
             self.tickets.insert(key, (ticket, backend.clone()));
         }
@@ -230,10 +230,10 @@
     }
 
     /// Drops the note under which a sub-request can be cancelled.
-    fn forget(&mut self, from: &id::Host, id: id::Sub, desk: Desk, ticket: Option<Ticket>) {
+    fn forget(&mut self, from: &id::Host, id: id::Sub, desk: Component, ticket: Option<Ticket>) {
         let key = (from.clone(), id);
         let known = self.tickets.get(&key).map(|(ticket, _)| *ticket);
-        if desk == Desk::Query && (ticket.is_none() || ticket == known) {
+        if desk == Component::Query && (ticket.is_none() || ticket == known) {
             self.tickets.remove(&key);
         }
     }
@@ -283,7 +283,7 @@
         }
         let flight = Flight {
             from: waiting.from,
-            desk: waiting.sub.work.desk(),
+            desk: waiting.sub.work.component(),
             id: waiting.sub.id,
             backend: waiting.sub.backend.clone(),
             caller: waiting.sub.caller.clone(),
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -62,7 +62,12 @@
             return self.refuse(now, waiting, Failure::NotOwner);
         };
         let to = holder.clone();
-        self.forget(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
+        self.forget(
+            &waiting.from,
+            waiting.sub.id,
+            waiting.sub.work.component(),
+            None,
+        );
         waiting.sub.allowance = left;
         Effect::Forward {
             to,
--- a/crates/lentillift-owner/src/core/intake.rs
+++ b/crates/lentillift-owner/src/core/intake.rs
@@ -112,10 +112,15 @@
             Failure::Connection => "lentillift_owner_refused_unwell_total",
             _ => "lentillift_owner_refused_late_total",
         });
-        self.forget(&waiting.from, waiting.sub.id, waiting.sub.work.desk(), None);
+        self.forget(
+            &waiting.from,
+            waiting.sub.id,
+            waiting.sub.work.component(),
+            None,
+        );
         Effect::Reply {
             to: waiting.from,
-            desk: waiting.sub.work.desk(),
+            desk: waiting.sub.work.component(),
             id: waiting.sub.id,
             result: sub::Result::not_run(failure),
             load: self.load(now, &waiting.sub.backend, &waiting.sub.caller),
--- a/crates/lentillift-owner/src/queue.rs
+++ b/crates/lentillift-owner/src/queue.rs
@@ -1,7 +1,7 @@
 //! What waits for a slot of a backend server, and what has one.
 
 use lentillift_core::id;
-use lentillift_core::sub::Desk;
+use lentillift_core::sub::Component;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
 
@@ -22,7 +22,7 @@
     /// The host whose entry sent it.
     pub from: id::Host,
     /// The desk there.
-    pub desk: Desk,
+    pub desk: Component,
     /// The sub-request's number there.
     pub id: id::Sub,
     /// The backend server.
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -2,7 +2,7 @@
 
 use lentillift_core::id;
 use lentillift_core::sub;
-use lentillift_core::sub::Desk;
+use lentillift_core::sub::Component;
 use lentillift_core::sub::Failure;
 use lentillift_core::sub::Load;
 use lentillift_fleet::view::View;
@@ -193,7 +193,8 @@
         match message {
             Message::Sub(sub) => {
                 let result = sub::Result::not_run(Failure::Connection);
-                self.result(sub.work.desk(), sub.id, result, None).await;
+                self.result(sub.work.component(), sub.id, result, None)
+                    .await;
             }
             Message::Forward { from, sub } => {
                 self.lease(tenure::Mail::Returned { from, sub }).await;
@@ -218,13 +219,13 @@
         }
     }
 
-    async fn result(&self, desk: Desk, id: id::Sub, result: sub::Result, load: Option<Load>) {
+    async fn result(&self, desk: Component, id: id::Sub, result: sub::Result, load: Option<Load>) {
         match desk {
-            Desk::Query => {
+            Component::Query => {
                 let result = entry::Mail::Result { id, result, load };
                 let _ = self.entry.send(result).await;
             }
-            Desk::Once => {
+            Component::Once => {
                 self.once(once::Event::Result { id, result }).await;
             }
         }
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -85,7 +85,7 @@
             Mail::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
             Mail::Returned { from, sub } => {
                 let message = Message::Result {
-                    desk: sub.work.desk(),
+                    desk: sub.work.component(),
                     id: sub.id,
                     result: sub::Result::not_run(Failure::Connection),
                     load: None,
