--- a/crates/lentillift-core/src/coverage.rs
+++ b/crates/lentillift-core/src/coverage.rs
@@ -79,7 +79,7 @@
     ///
     /// An answer of which no shard replied covers nothing and is none. One who wants all gets all:
     /// a share that is rounded to 1, or a missing shard that is said to be empty, doesn't do.
-    pub fn accepts(&self, least: f64) -> bool {
+    pub fn satisfies(&self, least: f64) -> bool {
         let covers = self.answered > 0 || self.shards == 0;
         covers && self.share() >= least && (least < 1.0 || self.is_full())
     }
--- a/crates/lentillift-entry/src/core/settle.rs
+++ b/crates/lentillift-entry/src/core/settle.rs
@@ -224,7 +224,7 @@
         let least = member.ask.least_coverage;
         let answer = query.answer(member.ask.limit);
         self.kept.insert(key(query), member.ask.limit, &answer);
-        let effect = if !answer.coverage.accepts(least) {
+        let effect = if !answer.coverage.satisfies(least) {
             let detail = format!("reached {}, asked for at least {least}", answer.coverage);
             let mut refusal = Refusal::new(Cause::Coverage, detail).outcome(query.outcome());
             if answer.coverage.missing.iter().any(|m| is_load(m.reason)) {
