--- a/crates/lentillift-settings/src/revise.rs
+++ b/crates/lentillift-settings/src/revise.rs
@@ -33,7 +33,7 @@
 
 /// Which way it goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Out of service.
     Out,
     /// Back into service.
@@ -56,7 +56,13 @@
 /// # Errors
 ///
 /// Reports all faults of the answers, before and after.
-pub fn service(file: &str, text: &str, unit: Unit, way: Way, name: &str) -> Result<Revised> {
+pub fn service(
+    file: &str,
+    text: &str,
+    unit: Unit,
+    direction: Direction,
+    name: &str,
+) -> Result<Revised> {
     let answers = Answers::parse(file, text)?;
     if unit == Unit::Domain && !answers.domains.contains_key(name) {
         let right = review::one_of(answers.domains.keys());
@@ -66,14 +72,14 @@
         Unit::Domain => answers.out_of_service.domains.contains(name),
         Unit::Host => answers.out_of_service.hosts.contains(name),
     };
-    if out == (way == Way::Out) {
+    if out == (direction == Direction::Out) {
         return Ok(Revised {
             text: text.to_owned(),
             answers,
             changed: false,
         });
     }
-    let text = edit(text, unit, way, name, answers.revision + 1);
+    let text = edit(text, unit, direction, name, answers.revision + 1);
     let text = text.ok_or_else(|| {
         let fault = Fault::new(["out_of_service"], "a text that can't be edited", "lists");
         report(file, fault)
@@ -86,18 +92,18 @@
     })
 }
 
-fn edit(text: &str, unit: Unit, way: Way, name: &str, revision: u64) -> Option<String> {
+fn edit(text: &str, unit: Unit, direction: Direction, name: &str, revision: u64) -> Option<String> {
     let root = CstRootNode::parse(text, &ParseOptions::default()).ok()?;
     let object: CstObject = root.object_value()?;
     let number = CstInputValue::Number(revision.to_string());
     object.get("revision")?.set_value(number);
     let list = object.object_value("out_of_service")?;
     let list = list.array_value(unit.list())?;
-    match way {
-        Way::Out => {
+    match direction {
+        Direction::Out => {
             list.append(CstInputValue::String(name.to_owned()));
         }
-        Way::In => remove(&list, name),
+        Direction::In => remove(&list, name),
     }
     Some(root.to_string())
 }
--- a/crates/lentillift/src/command/service.rs
+++ b/crates/lentillift/src/command/service.rs
@@ -14,9 +14,9 @@
 use lentillift_settings::answers::Answers;
 use lentillift_settings::change;
 use lentillift_settings::revise;
+use lentillift_settings::revise::Direction;
 use lentillift_settings::revise::Revised;
 use lentillift_settings::revise::Unit;
-use lentillift_settings::revise::Way;
 
 /// The command for failure domains.
 pub(crate) const DOMAIN: Command = Command {
@@ -65,8 +65,8 @@
 fn run(matches: &Matches, unit: Unit) -> anyhow::Result<Exit> {
     let [way, name, file] = arguments(matches, ["out|in", "NAME", "ANSWERS"])?;
     let way = match way.as_str() {
-        "out" => Way::Out,
-        "in" => Way::In,
+        "out" => Direction::Out,
+        "in" => Direction::In,
         other => return Err(Usage(format!("found {other}, right is out or in")).into()),
     };
     let text = read(&file)?;
