--- a/crates/lentillift-settings/src/revise.rs
+++ b/crates/lentillift-settings/src/revise.rs
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// Reports all faults of the answers, before and after.
-pub fn service(
+pub fn update_out_of_service(
     file: &str,
     text: &str,
     unit: Unit,
--- a/crates/lentillift-settings/tests/examples.rs
+++ b/crates/lentillift-settings/tests/examples.rs
@@ -49,12 +49,15 @@
 #[test]
 fn out_and_in_keep_all_but_the_revision() {
     for (unit, name) in [(Unit::Domain, "d2"), (Unit::Host, "entry-3")] {
-        let out = revise::service("a", NAFISA, unit, Direction::Out, name).expect("out");
+        let out =
+            revise::update_out_of_service("a", NAFISA, unit, Direction::Out, name).expect("out");
         assert!(out.changed);
         assert_eq!(out.answers.revision, 2);
-        let again = revise::service("a", &out.text, unit, Direction::Out, name).expect("out");
+        let again =
+            revise::update_out_of_service("a", &out.text, unit, Direction::Out, name).expect("out");
         assert_eq!((again.changed, &again.text), (false, &out.text));
-        let back = revise::service("a", &out.text, unit, Direction::In, name).expect("in");
+        let back =
+            revise::update_out_of_service("a", &out.text, unit, Direction::In, name).expect("in");
         let expected = NAFISA.replace("\"revision\": 1", "\"revision\": 3");
         assert_eq!(back.text, expected);
     }
@@ -64,7 +67,8 @@
 fn comments_inside_the_list_stay() {
     let noted = "\"domains\": [\n      // Power works until Friday.\n      \"d1\"\n    ]";
     let text = NAFISA.replace("\"domains\": []", noted);
-    let out = revise::service("a", &text, Unit::Domain, Direction::Out, "d2").expect("out");
+    let out =
+        revise::update_out_of_service("a", &text, Unit::Domain, Direction::Out, "d2").expect("out");
     assert!(
         out.text
             .contains("// Power works until Friday.\n      \"d1\"")
@@ -84,7 +88,8 @@
 #[test]
 fn last_domain_stays_in_service() {
     let text = NAFISA.replace("\"domains\": []", "\"domains\": [\"d1\", \"d2\", \"d3\"]");
-    let report = revise::service("a", &text, Unit::Domain, Direction::Out, "d4").expect_err("last");
+    let report = revise::update_out_of_service("a", &text, Unit::Domain, Direction::Out, "d4")
+        .expect_err("last");
     assert!(report.to_string().contains("found all failure domains"));
 }
 
--- a/crates/lentillift/src/command/service.rs
+++ b/crates/lentillift/src/command/service.rs
@@ -71,7 +71,7 @@
     };
     let text = read(&file)?;
     let before = configure::generated(&file, &Answers::parse(&file, &text)?)?.config;
-    let revised = revise::service(&file, &text, unit, way, &name)?;
+    let revised = revise::update_out_of_service(&file, &text, unit, way, &name)?;
     let after = configure::generated(&file, &revised.answers)?.config;
     let changes = change::describe(&before, &after);
     if matches.opt_present("dry-run") {
