--- a/crates/lentillift-settings/src/daemon.rs
+++ b/crates/lentillift-settings/src/daemon.rs
@@ -38,7 +38,7 @@
 /// How log lines are written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Log {
+pub enum LogFormat {
     /// For people.
     #[default]
     Human,
@@ -52,7 +52,7 @@
     /// The settings.
     pub settings: Settings,
     /// How log lines are written.
-    pub log: Log,
+    pub log: LogFormat,
 }
 
 /// A setting, its shape, and what it is for.
--- a/crates/lentillift-settings/tests/published.rs
+++ b/crates/lentillift-settings/tests/published.rs
@@ -2,7 +2,7 @@
 
 use lentillift_settings::config::Config;
 use lentillift_settings::daemon;
-use lentillift_settings::daemon::Log;
+use lentillift_settings::daemon::LogFormat;
 use lentillift_settings::kind::Kind;
 use serde_json::Map;
 use serde_json::Value;
@@ -114,7 +114,7 @@
     let start = daemon::resolve(Some(("s", SETTINGS)), &flags).expect("right");
     assert_eq!(&*start.settings.host, "entry-2");
     assert_eq!(&*start.settings.domain, "d1");
-    assert_eq!(start.log, Log::Json);
+    assert_eq!(start.log, LogFormat::Json);
     assert_eq!(start.settings.seeds.len(), 2);
 }
 
--- a/crates/lentilliftd/src/main.rs
+++ b/crates/lentilliftd/src/main.rs
@@ -7,7 +7,7 @@
 use getopts::Options;
 use lentillift_settings::daemon;
 use lentillift_settings::daemon::ITEMS;
-use lentillift_settings::daemon::Log;
+use lentillift_settings::daemon::LogFormat;
 use lentillift_settings::daemon::Settings;
 use lentillift_settings::daemon::Start;
 use lentilliftd::daemon::Daemon;
@@ -132,15 +132,15 @@
 }
 
 /// Writes log lines to standard error; `RUST_LOG` may ask for more or less.
-fn log(log: Log) {
+fn log(log: LogFormat) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
     match log {
-        Log::Human => builder.init(),
-        Log::Json => builder.json().init(),
+        LogFormat::Human => builder.init(),
+        LogFormat::Json => builder.json().init(),
     }
 }
 
