--- a/crates/lentillift-settings/src/daemon.rs
+++ b/crates/lentillift-settings/src/daemon.rs
@@ -48,7 +48,7 @@
 
 /// All that a process is started with.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartOptions {
     /// The settings.
     pub settings: Settings,
     /// How log lines are written.
@@ -136,7 +136,7 @@
 /// # Errors
 ///
 /// Reports all faults of the file, else all of the flags, else all that neither gives.
-pub fn resolve(file: Option<(&str, &str)>, flags: &Map<String, Value>) -> Result<Start> {
+pub fn resolve(file: Option<(&str, &str)>, flags: &Map<String, Value>) -> Result<StartOptions> {
     let mut settings: Map<String, Value> = match file {
         Some((name, text)) => Document::parse(name, text)?.decode(&SHAPE)?,
         None => Map::new(),
@@ -155,7 +155,7 @@
     let log = settings.remove("log").unwrap_or_else(|| "human".into());
     let decoded = serde_json::from_value(log).and_then(|log| {
         let settings = serde_json::from_value(Value::Object(settings))?;
-        Ok(Start { settings, log })
+        Ok(StartOptions { settings, log })
     });
     decoded.map_err(|e| {
         // Only where a shape and its type have come apart.
--- a/crates/lentilliftd/src/main.rs
+++ b/crates/lentilliftd/src/main.rs
@@ -9,7 +9,7 @@
 use lentillift_settings::daemon::ITEMS;
 use lentillift_settings::daemon::LogFormat;
 use lentillift_settings::daemon::Settings;
-use lentillift_settings::daemon::Start;
+use lentillift_settings::daemon::StartOptions;
 use lentilliftd::daemon::Daemon;
 use lentilliftd::daemon::Sockets;
 use serde_json::Map;
@@ -110,7 +110,7 @@
     ExitCode::from(MISUSED)
 }
 
-fn start(matches: &Matches) -> anyhow::Result<Start> {
+fn start(matches: &Matches) -> anyhow::Result<StartOptions> {
     anyhow::ensure!(
         matches.free.is_empty(),
         "found {:?}, right are flags only",
