--- a/crates/lentillift-settings/src/daemon.rs
+++ b/crates/lentillift-settings/src/daemon.rs
@@ -57,7 +57,7 @@
 
 /// A setting, its shape, and what it is for.
 #[derive(Debug, Clone, Copy)]
-pub struct Item {
+pub struct Setting {
     /// The field in the settings file; the flag is the same with dashes.
     pub name: &'static str,
     /// What it is for.
@@ -66,8 +66,8 @@
     required: bool,
 }
 
-const fn item(name: &'static str, shape: Shape, help: &'static str) -> Item {
-    Item {
+const fn item(name: &'static str, shape: Shape, help: &'static str) -> Setting {
+    Setting {
         name,
         help,
         shape,
@@ -75,7 +75,7 @@
     }
 }
 
-impl Item {
+impl Setting {
     /// The value of a flag as it would stand in the file.
     pub fn value(&self, text: &str) -> Value {
         match self.shape {
@@ -86,7 +86,7 @@
 }
 
 /// All settings.
-pub const ITEMS: [Item; 8] = [
+pub const SETTINGS: [Setting; 8] = [
     item("host", Shape::Name, "name of the host"),
     item("domain", Shape::Name, "failure domain the host is in"),
     item("caller_address", Shape::Address, "where callers connect"),
@@ -105,13 +105,13 @@
         Shape::Address,
         "where the platform's configuration service listens",
     ),
-    Item {
+    Setting {
         name: "seeds",
         help: "node addresses of some other processes, separated by commas",
         shape: Shape::List(&Shape::Address),
         required: false,
     },
-    Item {
+    Setting {
         name: "log",
         help: "how log lines are written: human or json",
         shape: Shape::Choice(&["human", "json"]),
@@ -121,14 +121,14 @@
 
 /// The shape of a settings file. All fields may be left to flags.
 pub const SHAPE: Shape = Shape::Record(&[
-    optional(ITEMS[0].name, ITEMS[0].shape),
-    optional(ITEMS[1].name, ITEMS[1].shape),
-    optional(ITEMS[2].name, ITEMS[2].shape),
-    optional(ITEMS[3].name, ITEMS[3].shape),
-    optional(ITEMS[4].name, ITEMS[4].shape),
-    optional(ITEMS[5].name, ITEMS[5].shape),
-    optional(ITEMS[6].name, ITEMS[6].shape),
-    optional(ITEMS[7].name, ITEMS[7].shape),
+    optional(SETTINGS[0].name, SETTINGS[0].shape),
+    optional(SETTINGS[1].name, SETTINGS[1].shape),
+    optional(SETTINGS[2].name, SETTINGS[2].shape),
+    optional(SETTINGS[3].name, SETTINGS[3].shape),
+    optional(SETTINGS[4].name, SETTINGS[4].shape),
+    optional(SETTINGS[5].name, SETTINGS[5].shape),
+    optional(SETTINGS[6].name, SETTINGS[6].shape),
+    optional(SETTINGS[7].name, SETTINGS[7].shape),
 ]);
 
 /// Puts a settings file and flags together; a flag wins over the file.
@@ -145,7 +145,7 @@
     let flags: Map<String, Value> = Document::parse("command line", &text)?.decode(&SHAPE)?;
     settings.extend(flags);
     let name = file.map_or("command line", |(name, _)| name);
-    let missing = ITEMS.iter().filter(|item| item.required);
+    let missing = SETTINGS.iter().filter(|item| item.required);
     let missing = missing.filter(|item| !settings.contains_key(item.name));
     let faults = missing.map(|item| {
         let right = format!("{}, here or by --{}", item.help, flag(item.name));
--- a/crates/lentillift-settings/tests/published.rs
+++ b/crates/lentillift-settings/tests/published.rs
@@ -91,7 +91,7 @@
 
 fn flags(flags: &[(&str, &str)]) -> Map<String, Value> {
     let item = |name| {
-        daemon::ITEMS
+        daemon::SETTINGS
             .iter()
             .find(|item| item.name == name)
             .expect("setting")
--- a/crates/lentilliftd/src/main.rs
+++ b/crates/lentilliftd/src/main.rs
@@ -6,8 +6,8 @@
 use getopts::Matches;
 use getopts::Options;
 use lentillift_settings::daemon;
-use lentillift_settings::daemon::ITEMS;
 use lentillift_settings::daemon::LogFormat;
+use lentillift_settings::daemon::SETTINGS;
 use lentillift_settings::daemon::Settings;
 use lentillift_settings::daemon::StartOptions;
 use lentilliftd::daemon::Daemon;
@@ -93,7 +93,7 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "settings file, JSON with comments", "FILE");
-    for item in ITEMS {
+    for item in SETTINGS {
         options.optopt("", &daemon::flag(item.name), item.help, "VALUE");
     }
     options.optflag("", "check", "check the settings and exit");
@@ -117,7 +117,7 @@
         matches.free
     );
     let mut flags = Map::new();
-    for item in ITEMS {
+    for item in SETTINGS {
         if let Some(value) = matches.opt_str(&daemon::flag(item.name)) {
             flags.insert(item.name.to_owned(), item.value(&value));
         }
