--- a/crates/lentillift-settings/src/kind.rs
+++ b/crates/lentillift-settings/src/kind.rs
@@ -45,7 +45,7 @@
 
 impl Kind {
     /// The kind that a text's fields tell of.
-    pub fn of(document: &Document<'_>) -> Self {
+    pub fn detect(document: &Document<'_>) -> Self {
         let mark = MARKS.iter().find(|(field, _)| document.has(field));
         mark.map_or(Self::Settings, |(_, kind)| *kind)
     }
--- a/crates/lentillift-settings/tests/published.rs
+++ b/crates/lentillift-settings/tests/published.rs
@@ -53,7 +53,7 @@
 fn check(value: &Value) -> String {
     let text = serde_json::to_string_pretty(value).expect("JSON");
     let document = lentillift_settings::document::Document::parse("v", &text).expect("JSON");
-    let checked = Kind::of(&document).check("v", &text);
+    let checked = Kind::detect(&document).check("v", &text);
     checked.map_or_else(|report| report.to_string(), |()| String::new())
 }
 
--- a/crates/lentillift/src/command/check.rs
+++ b/crates/lentillift/src/command/check.rs
@@ -90,7 +90,7 @@
 fn check(file: &str, text: &str, forced: Option<Kind>) -> Result<Kind, Report> {
     let kind = match forced {
         Some(kind) => kind,
-        None => Kind::of(&Document::parse(file, text)?),
+        None => Kind::detect(&Document::parse(file, text)?),
     };
     kind.check(file, text)?;
     if kind == Kind::Answers {
--- a/crates/lentillift/src/command/diff.rs
+++ b/crates/lentillift/src/command/diff.rs
@@ -62,7 +62,7 @@
 fn load(file: &str) -> anyhow::Result<Config> {
     let text = read(file)?;
     let document = Document::parse(file, &text)?;
-    if Kind::of(&document) == Kind::Answers {
+    if Kind::detect(&document) == Kind::Answers {
         let answers = Answers::parse(file, &text)?;
         return Ok(configure::generated(file, &answers)?.config);
     }
