--- a/crates/lentillift-settings/src/answers.rs
+++ b/crates/lentillift-settings/src/answers.rs
@@ -184,7 +184,7 @@
         let document = Document::parse(name, text)?;
         let mut faults = document.faults(&SHAPE);
         faults.extend(draft::faults(&document.json()));
-        document.verdict(faults)?;
+        document.ensure_no_faults(faults)?;
         document.value()
     }
 }
--- a/crates/lentillift-settings/src/document.rs
+++ b/crates/lentillift-settings/src/document.rs
@@ -79,7 +79,7 @@
     where
         T: DeserializeOwned,
     {
-        self.verdict(self.faults(shape))?;
+        self.ensure_no_faults(self.faults(shape))?;
         self.value()
     }
 
@@ -104,7 +104,7 @@
     /// # Errors
     ///
     /// Reports `faults` with their lines.
-    pub fn verdict(&self, faults: Vec<Fault>) -> Result<()> {
+    pub fn ensure_no_faults(&self, faults: Vec<Fault>) -> Result<()> {
         match faults.is_empty() {
             true => Ok(()),
             false => Err(self.report(faults)),
--- a/crates/lentillift-settings/src/kind.rs
+++ b/crates/lentillift-settings/src/kind.rs
@@ -61,7 +61,7 @@
             Self::Answers => Answers::parse(name, text).map(drop),
             Self::Config => {
                 let config: Config = document.decode(&config::SHAPE)?;
-                document.verdict(review::config(&config))
+                document.ensure_no_faults(review::config(&config))
             }
             Self::Settings => {
                 let settings = document.decode::<Map<String, Value>>(&daemon::SHAPE);
@@ -70,12 +70,12 @@
             Self::Placement => {
                 let mut faults = document.faults(&placement::SHAPE);
                 faults.extend(review::placement(&document.json()));
-                document.verdict(faults)?;
+                document.ensure_no_faults(faults)?;
                 document.value::<Placement>().map(drop)
             }
             Self::Hosts => {
                 let roster: Roster = document.decode(&roster::SHAPE)?;
-                document.verdict(review::roster(&roster))
+                document.ensure_no_faults(review::roster(&roster))
             }
         }
     }
--- a/crates/lentillift/src/command/diff.rs
+++ b/crates/lentillift/src/command/diff.rs
@@ -67,6 +67,6 @@
         return Ok(configure::generated(file, &answers)?.config);
     }
     let config: Config = document.decode(&config::SHAPE)?;
-    document.verdict(review::config(&config))?;
+    document.ensure_no_faults(review::config(&config))?;
     Ok(config)
 }
