--- a/crates/lentillift-core/src/coverage.rs
+++ b/crates/lentillift-core/src/coverage.rs
@@ -1,24 +1,24 @@
-//! What part of the data an answer covers.
+//! Coverage of an answer: the share of a snapshot's documents that it includes.
 
 use crate::id;
 use serde::Deserialize;
 use serde::Serialize;
 use std::fmt;
 
-/// The share that is shown when a shard is missing but nearly nothing of the data.
-const MOST_WITH_HOLES: f64 = 0.999_999;
+/// Largest share shown for an answer that lacks a shard, so that it never reads as complete.
+const MAX_INCOMPLETE_SHARE: f64 = 0.999_999;
 
 /// Why a shard is missing from an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// No backend server that may be used holds the shard.
+    /// No usable backend server holds a replica of the shard.
     NoReplica,
-    /// The answer was due before the shard replied.
+    /// The deadline of the answer passed before the shard replied.
     Deadline,
-    /// Every replica that was asked refused.
+    /// Every replica that received a sub-request refused it.
     Refused,
-    /// Every replica is in a cold start and full.
+    /// Every replica is in a cold start and already runs as many requests as it may then.
     Cold,
     /// The backend server no longer holds the snapshot.
     SnapshotGone,
@@ -45,48 +45,50 @@
 /// A shard that is missing from an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Missing {
-    /// The shard's number in the answer's snapshot.
+    /// Number of the shard in the answer's snapshot.
     pub shard: id::Shard,
-    /// Documents in the shard.
+    /// Number of documents in the shard.
     pub weight: u64,
-    /// Why it is missing.
+    /// Why the answer lacks the shard.
     pub reason: Reason,
 }
 
-/// What part of a snapshot an answer covers.
+/// Shards and documents of a snapshot, and those that an answer covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Shards in the snapshot.
+    /// Number of shards in the snapshot.
     pub shards: u32,
-    /// Shards whose reply is in the answer.
+    /// Number of shards whose reply is part of the answer.
     // INVARIANT: `answered + missing.len() == shards`.
     pub answered: u32,
-    /// Documents in the snapshot.
+    /// Number of documents in the snapshot.
     pub weight: u64,
-    /// Documents in the answered shards.
+    /// Number of documents in the shards that replied.
     pub covered: u64,
-    /// The shards that are not in the answer.
+    /// Shards that did not reply, with the reason for each.
     pub missing: Vec<Missing>,
 }
 
 impl Coverage {
-    /// Whether no shard is missing.
+    /// Whether every shard of the snapshot replied.
     pub fn is_full(&self) -> bool {
         self.missing.is_empty()
     }
 
-    /// Whether a caller that wants at least the share `least` is served.
+    /// Whether the answer satisfies a caller that requires at least the share `min_share`, from 0
+    /// to 1.
     ///
-    /// An answer of which no shard replied covers nothing and is none. One who wants all gets all:
-    /// a share that is rounded to 1, or a missing shard that is said to be empty, doesn't do.
-    pub fn satisfies(&self, least: f64) -> bool {
-        let covers = self.answered > 0 || self.shards == 0;
-        covers && self.share() >= least && (least < 1.0 || self.is_full())
+    /// An answer without any reply never does, unless the snapshot has no shards. A `min_share` of 1
+    /// requires every shard: a share that is rounded to 1, or a missing shard that reports no
+    /// documents, is not enough.
+    pub fn satisfies(&self, min_share: f64) -> bool {
+        let has_reply = self.answered > 0 || self.shards == 0;
+        has_reply && self.share() >= min_share && (min_share < 1.0 || self.is_full())
     }
 
     /// Share of the snapshot's documents that the answer covers, from 0 to 1.
     ///
-    /// A snapshot without documents counts by its shards.
+    /// For a snapshot without documents, the share of its shards that replied; 1 if it has none.
     pub fn share(&self) -> f64 {
         match (self.weight, self.shards) {
             (0, 0) => 1.0,
@@ -100,8 +102,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut share = self.share();
         if !self.is_full() {
-            // Never rounded up to what would look like all of it.
-            share = share.min(MOST_WITH_HOLES);
+            // A tiny or empty missing shard must not round the share up to 1.
+            share = share.min(MAX_INCOMPLETE_SHARE);
         }
         let millionths = (share * 1e6).floor();
         write!(f, "{:.6}", millionths / 1e6)
--- a/crates/lentillift-core/src/error.rs
+++ b/crates/lentillift-core/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors that name the step and the peer at which they arose.
+//! Errors of communication, with the step that failed and the peer involved.
 
 use thiserror::Error;
 
-/// The step at which an error arose.
+/// The step of an exchange that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Opening a listener.
@@ -13,9 +13,9 @@
     Write,
     /// Reading from a peer.
     Read,
-    /// Making sense of what a peer sent.
+    /// Decoding the bytes that a peer sent.
     Decode,
-    /// Checking a value that was read.
+    /// Validating a value that was decoded.
     Check,
 }
 
@@ -32,20 +32,20 @@
     }
 }
 
-/// An error with the step and the peer at which it arose.
+/// A failed step of an exchange with a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{step} {peer}: {cause}")]
 pub struct Error {
-    /// The step at which it arose.
+    /// The step that failed.
     pub step: Step,
-    /// The peer it arose with, by name or address.
+    /// Name or address of the peer, or the name of the value that was read.
     pub peer: String,
-    /// What went wrong.
+    /// Description of the failure.
     pub cause: String,
 }
 
 impl Error {
-    /// Makes an error from anything that can be shown.
+    /// Creates an error from a peer and a cause, both stored as text.
     pub fn new(step: Step, peer: impl ToString, cause: impl ToString) -> Self {
         Self {
             step,
--- a/crates/lentillift-core/src/fingerprint.rs
+++ b/crates/lentillift-core/src/fingerprint.rs
@@ -1,26 +1,27 @@
-//! What all attempts of the same request have in common.
+//! Hash of a request's content, equal for all attempts of the same request.
 
 use std::fmt;
 
-/// Names the use of the hash, so that no other use of it gives the same values.
+/// BLAKE3 key derivation context: keeps these hashes apart from those of any other use.
 const CONTEXT: &str = "lentillift 2026-12 request fingerprint";
 
-/// Bytes of a fingerprint that are written into logs.
-const SHOWN: usize = 8;
+/// Bytes of a fingerprint that are shown in logs.
+const DISPLAYED_BYTES: usize = 8;
 
-/// A request's content, without what differs between its attempts.
+/// Hash of a request's method, host, path with query, and body.
 ///
-/// Headers are left out: the attempt's id, the time that is left and what a caller's client adds differ
-/// from attempt to attempt.
+/// Headers are left out, because the attempt's id, the time left and headers added by the caller's
+/// client differ from attempt to attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub [u8; 16]);
 
 impl Fingerprint {
-    /// The fingerprint of a request for `path`, with its query, at the host `authority`.
+    /// Computes the fingerprint of a request for `path`, query string included, at the host
+    /// `authority`.
     pub fn of(method: &str, authority: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         for field in [method.as_bytes(), authority.as_bytes(), path.as_bytes()] {
-            // The length first: no two lists of fields give the same bytes.
+            // The length prefix keeps field boundaries: "ab", "c" and "a", "bc" hash differently.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
@@ -33,7 +34,7 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = self.0.iter().take(SHOWN);
+        let shown = self.0.iter().take(DISPLAYED_BYTES);
         { shown }.try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
--- a/crates/lentillift-core/src/hit.rs
+++ b/crates/lentillift-core/src/hit.rs
@@ -1,28 +1,30 @@
-//! Ranked hits and their merge.
+//! Hits of a search and the merge of ranked lists.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// One hit of a search; all but its id and score is opaque.
+/// One hit of a search. Only its id and score are interpreted; the rest is opaque.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hit {
-    /// The document's id.
+    /// Id of the document, as the backend server sent it.
     pub id: String,
-    /// The document's score; higher is better.
-    // INVARIANT: Never NaN; the parser of backend replies refuses it.
+    /// Score of the document; higher is better.
+    // INVARIANT: Never NaN; the parser of backend replies rejects it.
     pub score: f64,
-    /// The hit as the backend server wrote it, as JSON.
+    /// The whole hit as the JSON text that the backend server sent.
     pub json: String,
 }
 
-/// Order of hits in an answer: by falling score, then by rising id.
+/// Compares two hits by their order in an answer: descending score, then ascending id.
 pub fn order(a: &Hit, b: &Hit) -> Ordering {
     b.score.total_cmp(&a.score).then_with(|| a.id.cmp(&b.id))
 }
 
-/// The head of one shard's list while lists are merged.
+/// First unmerged hit of one shard's list, with the hits after it.
+///
+/// Ordered in reverse of [`order`], so that the max-heap yields the best hit first.
 struct Head {
     hit: Hit,
     rest: std::vec::IntoIter<Hit>,
@@ -48,7 +50,7 @@
     }
 }
 
-/// Merges sorted lists of hits and keeps the first `limit`.
+/// Merges lists that are each sorted by [`order`] and returns the first `limit` hits.
 pub fn merge<I>(lists: I, limit: usize) -> Vec<Hit>
 where
     I: IntoIterator<Item = Vec<Hit>>,
@@ -67,6 +69,7 @@
     merged
 }
 
+/// Adds a list to the heap, unless it is exhausted.
 fn push(heads: &mut BinaryHeap<Head>, mut rest: std::vec::IntoIter<Hit>) {
     if let Some(hit) = rest.next() {
         heads.push(Head { hit, rest });
--- a/crates/lentillift-core/src/lib.rs
+++ b/crates/lentillift-core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared vocabulary of every lentillift crate.
+//! Types shared by every lentillift crate.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number.
+//! Nothing here opens a socket or draws a random number, and only [`time::Clock`] reads a clock.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-core/src/outcome.rs
+++ b/crates/lentillift-core/src/outcome.rs
@@ -1,18 +1,18 @@
-//! What became of a request.
+//! Whether a request ran on a backend server.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What became of a request that was, or was not, sent to a backend server.
+/// What is known about whether a request ran on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A backend server ran it and its reply is at hand.
+    /// A backend server ran it and its reply was received.
     Done,
     /// No backend server ran it, and none will.
     ///
-    /// Said only where no byte of the request can have reached a backend server, or where the
-    /// backend server itself said so.
+    /// Used only if no byte of the request can have reached a backend server, or if the backend
+    /// server itself reported that it did not run the request.
     NotRun,
     /// It may or may not have run.
     Unknown,
--- a/crates/lentillift-core/src/refusal.rs
+++ b/crates/lentillift-core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: a request that was turned away.
+//! Refusals: answers to requests that are not served, with cause and retry time.
 
 use crate::outcome::Outcome;
 use serde::Deserialize;
@@ -13,43 +13,43 @@
     UnknownService,
     /// No such caller is configured.
     UnknownCaller,
-    /// The request itself is malformed.
+    /// The request could not be parsed.
     Malformed,
-    /// The time allowance is missing or out of bounds.
+    /// The time allowance is missing or outside the configured bounds.
     Allowance,
-    /// The class or the caller is over its share while the system is full.
+    /// The system is at capacity and the priority class or the caller exceeds its share.
     Overload,
-    /// The process has no fresh view of the fleet.
+    /// The process has no view of the fleet that is recent enough.
     Stale,
     /// The process is shutting down.
     Leaving,
-    /// No snapshot of the service can be served.
+    /// The service has no snapshot that can be searched.
     NoSnapshot,
-    /// The coverage reached is below what the caller accepts.
+    /// The coverage reached is below the minimum that the caller accepts.
     Coverage,
-    /// Backend servers end under requests with this content.
+    /// Requests with this content are quarantined because they make backend servers terminate.
     Quarantined,
-    /// The id is closed: the request never ran under it and never will.
+    /// The idempotency key is closed: no request ran under it, and none ever will.
     Closed,
-    /// The id was used for another request.
+    /// The idempotency key was used for a different request.
     Mismatch,
 }
 
-/// A refusal as its caller sees it.
+/// A refusal as it is sent to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Why it was refused.
     pub cause: Cause,
-    /// When the caller may try again, where that helps.
+    /// Time after which the caller may retry; none if a retry would not help.
     pub retry_after: Option<Duration>,
-    /// What was found and what would be right.
+    /// Explanation for people: what was found and what was expected.
     pub detail: String,
-    /// What is known of whether any part of the request ran.
+    /// Whether any part of the request ran, as far as it is known.
     pub outcome: Outcome,
 }
 
 impl Refusal {
-    /// Makes a refusal that asking again will not change.
+    /// Creates a refusal of a request that did not run, without a retry time.
     pub fn new(cause: Cause, detail: impl Into<String>) -> Self {
         Self {
             cause,
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Says whether any part of the request ran; without it, none did.
+    /// Sets the outcome; the default is [`Outcome::NotRun`].
     pub fn outcome(mut self, outcome: Outcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
--- a/crates/lentillift-core/src/snapshot.rs
+++ b/crates/lentillift-core/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Index snapshots and the shard maps that belong to them.
+//! Shard maps of index snapshots.
 
 use crate::id;
 use serde::Deserialize;
@@ -10,9 +10,9 @@
 pub struct Part {
     /// The shard's number within this snapshot.
     pub shard: id::Shard,
-    /// How much data the shard holds, in documents.
+    /// Number of documents in the shard.
     pub weight: u64,
-    /// The backend servers that hold the shard.
+    /// Names of the backend servers that hold the shard.
     pub replicas: Vec<id::Backend>,
 }
 
@@ -20,27 +20,27 @@
 ///
 /// # Invariants
 ///
-/// Every document of the snapshot is in exactly one part. A query that keeps to one map can
-/// therefore neither count a document twice nor lose one, whatever repartitioning is under way.
+/// Every document of the snapshot is in exactly one part. A query that uses a single map therefore
+/// neither counts a document twice nor loses one, even while the index is being repartitioned.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "Unchecked")]
 pub struct Map {
     /// The snapshot that the map describes.
     pub snapshot: id::Snapshot,
-    /// The parts of the snapshot.
+    /// The shards of the snapshot; never empty once decoded.
     // INVARIANT: No two parts have the same shard number.
     pub parts: Vec<Part>,
 }
 
 impl Map {
-    /// Documents in all parts together.
+    /// Number of documents in all parts together; saturates at `u64::MAX`.
     pub fn weight(&self) -> u64 {
         let weights = self.parts.iter().map(|part| part.weight);
         weights.fold(0, u64::saturating_add)
     }
 }
 
-/// A map as it was published, which may break the rules of [`Map`].
+/// A shard map as published, before its validation as a [`Map`].
 #[derive(Debug, Deserialize)]
 struct Unchecked {
     snapshot: id::Snapshot,
@@ -53,12 +53,16 @@
     fn try_from(map: Unchecked) -> Result<Self, Self::Error> {
         let snapshot = map.snapshot;
         if map.parts.is_empty() {
-            return Err(format!("snapshot {snapshot}: no parts"));
+            return Err(format!("snapshot {snapshot}: the shard map has no parts"));
         }
         let mut shards = BTreeSet::new();
-        // Two parts under one number would be counted twice, with one's hits in place of both.
+        // With a duplicate number, the hits of one part would be counted for both, and the hits of
+        // the other would be lost.
         if let Some(part) = map.parts.iter().find(|part| !shards.insert(part.shard)) {
-            return Err(format!("snapshot {snapshot}: shard {} twice", part.shard));
+            return Err(format!(
+                "snapshot {snapshot}: shard {} is listed twice",
+                part.shard
+            ));
         }
         Ok(Self {
             snapshot,
--- a/crates/lentillift-core/src/sub.rs
+++ b/crates/lentillift-core/src/sub.rs
@@ -8,36 +8,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a sub-request asks of its backend server.
+/// The operation that a sub-request makes a backend server run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Work {
-    /// Search one shard of one snapshot; may be repeated.
+    /// Search one shard of one snapshot. Idempotent.
     Search {
         /// The snapshot to search.
         snapshot: id::Snapshot,
         /// The shard to search.
         shard: id::Shard,
     },
-    /// Run a request that may not be repeated.
+    /// Run a request that is not idempotent, at most once.
     Action {
         /// The caller's idempotency key.
         key: Arc<str>,
     },
 }
 
-/// The part of a process that sent a sub-request and waits for its result.
+/// The component of a process that sent a sub-request and receives its result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Component {
-    /// The part that serves queries.
+    /// The component that serves queries.
     Query,
-    /// The part that serves requests that may run at most once.
+    /// The component that serves actions, which run at most once.
     Once,
 }
 
 impl Work {
-    /// The part of a process that sends this kind of work.
+    /// The component that sends this kind of work.
     pub fn component(&self) -> Component {
         match self {
             Self::Search { .. } => Component::Query,
@@ -46,28 +46,28 @@
     }
 }
 
-/// A sub-request on its way from an entry to an owner.
+/// A sub-request, sent by an entry to the owner of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sub {
-    /// The sub-request's number at the desk that sent it.
+    /// Number of the sub-request, assigned by the component that sent it.
     pub id: id::Sub,
-    /// The service it belongs to.
+    /// The service that the caller's request is for.
     pub service: id::Service,
-    /// The backend server to send it to.
+    /// The backend server that is to run it.
     pub backend: id::Backend,
-    /// The caller whose request it is part of.
+    /// Name of the caller whose request it is part of.
     pub caller: id::Caller,
-    /// What is asked.
+    /// The operation to run.
     pub work: Work,
-    /// Time left until its reply is of no more use.
+    /// Time left until the deadline of the reply.
     ///
-    /// A duration and not a point in time, because hosts' clocks differ.
+    /// A duration and not a point in time, because the clocks of hosts differ.
     pub allowance: Duration,
-    /// The caller's body, passed on as it came.
+    /// Body of the caller's request, unchanged.
     #[serde(with = "crate::text")]
     pub body: Arc<[u8]>,
-    /// Whether another replica was asked as well; it then runs at once on a warm backend server
-    /// with a free slot, or not at all.
+    /// Whether this is a hedge: a second sub-request for a shard that another replica is already
+    /// searching. A hedge runs at once on a warm backend server with a free slot, or not at all.
     pub hedge: bool,
 }
 
@@ -75,25 +75,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// The owner's queue is full or the sub-request would have been late.
+    /// The owner's queue is full, or the reply would have missed its deadline.
     Refused,
-    /// The backend server is in a cold start and has all the work it can bear.
+    /// The backend server is in a cold start and at its limit of requests in flight.
     Cold,
     /// The backend server does not hold the snapshot.
     SnapshotGone,
-    /// The process that was asked does not own the backend server.
+    /// The process that received the sub-request does not own the backend server.
     NotOwner,
     /// The backend server is out of service or leaving.
     Out,
-    /// The backend server shed it.
+    /// The backend server rejected it because of its own load.
     Shed,
     /// The connection failed before, during or after the request was written.
     Connection,
-    /// The backend server's process ended while it had the request.
+    /// The process of the backend server ended while the request was in flight there.
     Ended,
-    /// The reply did not come in time.
+    /// No reply arrived before the deadline.
     Timeout,
-    /// The reply was malformed, too large, or for something else.
+    /// The reply was malformed, too large, or belonged to another request.
     Malformed,
 }
 
@@ -101,21 +101,21 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Result {
-    /// The hits of one shard, in the order of [`crate::hit::order`].
+    /// The hits of one shard, sorted by [`crate::hit::order`].
     Hits(Vec<Hit>),
-    /// The reply to an action, as the backend server wrote it.
+    /// The body of the reply to an action, unchanged.
     Reply(#[serde(with = "crate::text")] Vec<u8>),
-    /// It failed.
+    /// No usable reply was received.
     Failed {
-        /// Why it failed.
+        /// Why there is no reply.
         failure: Failure,
-        /// Whether a backend server may have run it.
+        /// Whether a backend server ran it, as far as it is known.
         outcome: Outcome,
     },
 }
 
 impl Result {
-    /// What is known of whether a backend server ran the sub-request.
+    /// Whether a backend server ran the sub-request, as far as it is known.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Hits(_) | Self::Reply(_) => Outcome::Done,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A failure of which it is certain that no backend server ran it.
+    /// A failure of a sub-request that no backend server ran, for certain.
     pub fn not_run(failure: Failure) -> Self {
         Self::Failed {
             failure,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A failure after which a backend server may have run it.
+    /// A failure of a sub-request that a backend server may have run.
     pub fn unknown(failure: Failure) -> Self {
         Self::Failed {
             failure,
@@ -145,27 +145,28 @@
 pub struct Report {
     /// Reported load, from 0 (idle) to 1 (full).
     pub load: Option<f64>,
-    /// Whether the backend server says that it is leaving.
+    /// Whether the backend server reports that it is leaving: it finishes its requests and accepts
+    /// no new ones.
     pub draining: bool,
-    /// Whether the backend server says that it is in a cold start.
+    /// Whether the backend server reports that it is in a cold start.
     pub cold: bool,
-    /// Number of the backend server's own start, where it tells one.
+    /// Incarnation of the backend server's process, if it reports one.
     pub incarnation: Option<id::Incarnation>,
 }
 
-/// Load of a backend server as its owner counts it; sent along with each result.
+/// Load of a backend server as its owner measures it; sent with each result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Sub-requests that wait.
+    /// Sub-requests in the owner's queue for the backend server.
     pub queued: u32,
-    /// Requests in flight.
+    /// Requests in flight at the backend server.
     pub running: u32,
-    /// Requests that may be in flight.
+    /// Current limit of requests in flight.
     pub limit: u32,
-    /// Whether the backend server is not warm.
+    /// Whether the backend server is in a cold start or still warming up.
     pub cold: bool,
-    /// Time until a further request would be sent.
+    /// Estimated time that a further request would spend in the queue.
     pub wait: Duration,
-    /// Time that requests took lately.
+    /// Recent time that the backend server took to run a request.
     pub run: Duration,
 }
--- a/crates/lentillift-core/src/text.rs
+++ b/crates/lentillift-core/src/text.rs
@@ -1,22 +1,23 @@
-//! Bytes that are nearly always text, shown as text where a person may read them.
+//! Serialises bytes that are usually UTF-8 as a string, so that people can read them.
 
 use serde::Deserialize;
 use serde::Deserializer;
 use serde::Serialize;
 use serde::Serializer;
 
+/// The two serialised forms: a string, or a list of byte values.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Shown {
+enum TextOrBytes {
     Text(String),
     Bytes(Vec<u8>),
 }
 
-/// Writes bytes as text, or as numbers where they are none.
+/// Serialises valid UTF-8 as a string and any other bytes as a list of numbers.
 ///
 /// # Errors
 ///
-/// Those of the serializer.
+/// Returns errors of the serializer.
 pub fn serialize<B, S>(bytes: &B, serializer: S) -> Result<S::Ok, S::Error>
 where
     B: AsRef<[u8]>,
@@ -28,18 +29,18 @@
     }
 }
 
-/// Reads what [`serialize`] has written.
+/// Deserialises either form that [`serialize`] writes.
 ///
 /// # Errors
 ///
-/// Those of the deserializer.
+/// Returns errors of the deserializer.
 pub fn deserialize<'de, B, D>(deserializer: D) -> Result<B, D::Error>
 where
     B: From<Vec<u8>>,
     D: Deserializer<'de>,
 {
-    Ok(match Shown::deserialize(deserializer)? {
-        Shown::Text(text) => text.into_bytes().into(),
-        Shown::Bytes(bytes) => bytes.into(),
+    Ok(match TextOrBytes::deserialize(deserializer)? {
+        TextOrBytes::Text(text) => text.into_bytes().into(),
+        TextOrBytes::Bytes(bytes) => bytes.into(),
     })
 }
--- a/crates/lentillift-core/src/time.rs
+++ b/crates/lentillift-core/src/time.rs
@@ -1,11 +1,12 @@
-//! Time as the decisions see it.
+//! Monotonic time that can be simulated.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Monotonic time since an epoch that the process chose.
+/// Monotonic time, as the duration since the start of a [`Clock`].
 ///
-/// Decisions take this in place of [`Instant`] because tests must be able to make one from nothing.
+/// Code that depends on time takes this in place of [`Instant`], because tests can create any value
+/// of it without a clock.
 pub type Time = Duration;
 
 /// Monotonic clock of a process.
@@ -15,14 +16,14 @@
 }
 
 impl Clock {
-    /// Starts a clock whose epoch is now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self {
             epoch: Instant::now(),
         }
     }
 
-    /// Time since the epoch.
+    /// Time since the clock was started.
     pub fn now(&self) -> Time {
         self.epoch.elapsed()
     }
--- a/crates/lentillift-core/tests/hit.rs
+++ b/crates/lentillift-core/tests/hit.rs
@@ -1,9 +1,10 @@
-//! The merge of ranked lists against a sort of all hits.
+//! Compares the merge of ranked lists with a sort of all their hits.
 
 use lentillift_core::hit;
 use lentillift_core::hit::Hit;
 use proptest::prelude::*;
 
+/// A sorted list of hits, drawn so that ids and scores recur within and across lists.
 fn hits() -> impl Strategy<Value = Vec<Hit>> {
     let hit = (0u32..50, 0u32..20).prop_map(|(id, score)| Hit {
         id: format!("{id:02}"),
@@ -18,7 +19,7 @@
 
 proptest! {
     #[test]
-    fn a_merge_is_the_head_of_a_sort(lists in prop::collection::vec(hits(), 0..10), limit in 0usize..30) {
+    fn merge_equals_truncated_sort(lists in prop::collection::vec(hits(), 0..10), limit in 0usize..30) {
         let mut sorted: Vec<Hit> = lists.concat();
         sorted.sort_by(hit::order);
         sorted.truncate(limit);
--- a/crates/lentillift-settings/tests/fuzz.rs
+++ b/crates/lentillift-settings/tests/fuzz.rs
@@ -79,7 +79,9 @@
     );
     let error = jsonc::parse::<Placement>("service/x", &text).expect_err("a shard twice");
     assert!(
-        error.to_string().contains("snapshot 9: shard 3 twice"),
+        error
+            .to_string()
+            .contains("snapshot 9: shard 3 is listed twice"),
         "{error}"
     );
 }
