--- a/crates/lentillift-fleet/tests/revisions.rs
+++ b/crates/lentillift-fleet/tests/revisions.rs
@@ -93,7 +93,7 @@
         let notes: Vec<&str> = net.nodes.values().flat_map(|n| &n.notes).map(|(_, n)| &**n).collect();
         assert!(notes.iter().any(|note| {
             note.starts_with("refused config:")
-                && note.contains("domains_out: found \"nowhere\", right is one of \"d0\"")
+                && note.contains("domains_out: found \"nowhere\", expected one of \"d0\"")
         }));
         net.publish_config(4, &["d1"], &[]);
         assert!(net.wait(SECOND * 5, |net| net.in_force(4)).is_some());
--- a/crates/lentillift-settings/src/fault.rs
+++ b/crates/lentillift-settings/src/fault.rs
@@ -10,13 +10,14 @@
     pub path: Vec<String>,
     /// What was found there.
     pub found: String,
-    /// What would be right.
-    pub right: String,
+    /// What the check expects, in words.
+    #[serde(rename = "right")]
+    pub expected: String,
 }
 
 impl Fault {
     /// Makes a fault of the field at `path`.
-    pub fn new<P, S>(path: P, found: impl Into<String>, right: impl Into<String>) -> Self
+    pub fn new<P, S>(path: P, found: impl Into<String>, expected: impl Into<String>) -> Self
     where
         P: IntoIterator<Item = S>,
         S: Into<String>,
@@ -24,7 +25,7 @@
         Self {
             path: path.into_iter().map(Into::into).collect(),
             found: found.into(),
-            right: right.into(),
+            expected: expected.into(),
         }
     }
 }
@@ -34,7 +35,7 @@
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path.join("."))?;
         }
-        write!(f, "found {}, right is {}", self.found, self.right)
+        write!(f, "found {}, expected {}", self.found, self.expected)
     }
 }
 
--- a/crates/lentillift-settings/tests/answers.rs
+++ b/crates/lentillift-settings/tests/answers.rs
@@ -51,74 +51,74 @@
 
 wrong! {
     revision_zero: [
-        "\"revision\": 1" => "\"revision\": 0" gives "revision: found 0, right is a whole number from 1 to 1000000000"
+        "\"revision\": 1" => "\"revision\": 0" gives "revision: found 0, expected a whole number from 1 to 1000000000"
     ];
     unknown_field: [
-        "\"copies\": 1" => "\"copys\": 1" gives "services.search.copys: found an unknown field, right is one of the fields copies, may_be_repeated, priority, backend_servers, slots, cold_slots, connections, connect_ms"
+        "\"copies\": 1" => "\"copys\": 1" gives "services.search.copys: found an unknown field, expected one of the fields copies, may_be_repeated, priority, backend_servers, slots, cold_slots, connections, connect_ms"
     ];
     missing_field: [
-        "\"organisation\": \"Example Trust\"," => "" gives "organisation: found nothing, right is a text in quotes"
+        "\"organisation\": \"Example Trust\"," => "" gives "organisation: found nothing, expected a text in quotes"
     ];
     wrong_type: [
-        "\"share\": 4" => "\"share\": \"four\"" gives "callers.website.share: found \"four\", right is a whole number from 1 to 1000"
+        "\"share\": 4" => "\"share\": \"four\"" gives "callers.website.share: found \"four\", expected a whole number from 1 to 1000"
     ];
     wrong_word: [
-        "\"coverage\"," => "\"speed\"," gives "matters_most: found \"speed\", right is one of \"coverage\", \"latency\""
+        "\"coverage\"," => "\"speed\"," gives "matters_most: found \"speed\", expected one of \"coverage\", \"latency\""
     ];
     unknown_priority: [
-        "\"priority\": \"urgent\"" => "\"priority\": \"urgnt\"" gives "services.search.priority: found \"urgnt\", right is one of \"urgent\", \"ordinary\""
+        "\"priority\": \"urgent\"" => "\"priority\": \"urgnt\"" gives "services.search.priority: found \"urgnt\", expected one of \"urgent\", \"ordinary\""
     ];
     unknown_domain: [
-        "\"domains\": []" => "\"domains\": [\"d9\"]" gives "out_of_service.domains: found \"d9\", right is one of \"d1\", \"d2\", \"d3\""
+        "\"domains\": []" => "\"domains\": [\"d9\"]" gives "out_of_service.domains: found \"d9\", expected one of \"d1\", \"d2\", \"d3\""
     ];
     all_domains_out: [
-        "\"domains\": []" => "\"domains\": [\"d1\", \"d2\", \"d3\"]" gives "out_of_service.domains: found all failure domains, right is at least one in service"
+        "\"domains\": []" => "\"domains\": [\"d1\", \"d2\", \"d3\"]" gives "out_of_service.domains: found all failure domains, expected at least one in service"
     ];
     zero_slots: [
-        "\"slots\": 2" => "\"slots\": 0" gives "services.search.slots: found 0, right is a whole number from 1 to 10000"
+        "\"slots\": 2" => "\"slots\": 0" gives "services.search.slots: found 0, expected a whole number from 1 to 10000"
     ];
     cold_above_warm: [
-        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, right is at most its slots, which are 2"
+        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most its slots, which are 2"
     ];
     few_connections: [
-        "\"connections\": 25" => "\"connections\": 1" gives "services.search.connections: found 1, right is at least its slots, which are 2"
+        "\"connections\": 25" => "\"connections\": 1" gives "services.search.connections: found 1, expected at least its slots, which are 2"
     ];
     allowances_crossed: [
-        "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, right is at most most_ms, which is 10000"
+        "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, expected at most most_ms, which is 10000"
     ];
     later_than_allowed: [
-        "\"answer_within_ms\": 130" => "\"answer_within_ms\": 20000" gives "priorities.0.answer_within_ms: found 20000, right is at most allowance.most_ms, which is 10000"
+        "\"answer_within_ms\": 130" => "\"answer_within_ms\": 20000" gives "priorities.0.answer_within_ms: found 20000, expected at most allowance.most_ms, which is 10000"
     ];
     field_twice: [
-        "\"revision\": 1," => "\"revision\": 1, \"revision\": 2," gives "revision: found the field twice, right is each field once"
+        "\"revision\": 1," => "\"revision\": 1, \"revision\": 2," gives "revision: found the field twice, expected each field once"
     ];
     name_with_a_space: [
-        "\"office\":" => "\"Office 1\":" gives "callers.Office 1: found \"Office 1\", right is a name of 1 to 128 letters, digits and - . _ : that starts with a letter or digit"
+        "\"office\":" => "\"Office 1\":" gives "callers.Office 1: found \"Office 1\", expected a name of 1 to 128 letters, digits and - . _ : that starts with a letter or digit"
     ];
     not_json: [
-        "\"revision\": 1," => "\"revision\" 1," gives "found Expected colon after the string or word in object property, right is JSON with comments"
+        "\"revision\": 1," => "\"revision\" 1," gives "found Expected colon after the string or word in object property, expected JSON with comments"
     ];
     all_at_once: [
-        "\"revision\": 1" => "\"revision\": -1" gives "revision: found -1, right is a whole number from 1 to 1000000000",
-        "\"priority\": \"urgent\"" => "\"priority\": \"urgnt\"" gives "services.search.priority: found \"urgnt\", right is one of \"urgent\", \"ordinary\"",
-        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, right is at most its slots, which are 2",
-        "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, right is at most most_ms, which is 10000"
+        "\"revision\": 1" => "\"revision\": -1" gives "revision: found -1, expected a whole number from 1 to 1000000000",
+        "\"priority\": \"urgent\"" => "\"priority\": \"urgnt\"" gives "services.search.priority: found \"urgnt\", expected one of \"urgent\", \"ordinary\"",
+        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most its slots, which are 2",
+        "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, expected at most most_ms, which is 10000"
     ];
     unknown_priority_of_a_caller: [
         "\"office\": { \"share\": 1 }" => "\"office\": { \"share\": 1, \"priority\": \"x\" }"
-            gives "callers.office.priority: found \"x\", right is one of \"urgent\", \"ordinary\""
+            gives "callers.office.priority: found \"x\", expected one of \"urgent\", \"ordinary\""
     ];
     unknown_figure: [
         "\"organisation\"" => "\"policy\": { \"hedge\": { \"off\": true } }, \"organisation\""
-            gives "policy.hedge.off: found an unknown field, right is one of the fields budget_percent, least_ms, on, quantile_percent"
+            gives "policy.hedge.off: found an unknown field, expected one of the fields budget_percent, least_ms, on, quantile_percent"
     ];
     figure_of_a_wrong_kind: [
         "\"organisation\"" => "\"policy\": { \"hedge\": { \"on\": 1 } }, \"organisation\""
-            gives "policy.hedge.on: found 1, right is true or false"
+            gives "policy.hedge.on: found 1, expected true or false"
     ];
     figure_out_of_bounds: [
         "\"organisation\"" => "\"policy\": { \"hedge\": { \"budget_percent\": 200 } }, \"organisation\""
-            gives "policy.hedge.budget_percent: found 200, right is a whole number from 0 to 100"
+            gives "policy.hedge.budget_percent: found 200, expected a whole number from 0 to 100"
     ];
 }
 
@@ -134,7 +134,7 @@
 fn brackets_without_end_are_refused() {
     let text = "[".repeat(1024 * 1024);
     let report = Answers::parse("a", &text).expect_err("too deep");
-    let right = "a:1: found more than 32 nested brackets, right is JSON with comments";
+    let right = "a:1: found more than 32 nested brackets, expected JSON with comments";
     assert_eq!(report.to_string(), right);
 }
 
--- a/crates/lentillift-settings/tests/published.rs
+++ b/crates/lentillift-settings/tests/published.rs
@@ -27,27 +27,27 @@
 
 unfit! {
     revision_zero: |c| c.revision = 0 =>
-        "revision: found 0, right is a whole number from 1 to 1000000000";
+        "revision: found 0, expected a whole number from 1 to 1000000000";
     revision_beyond_return: |c| c.revision = u64::MAX =>
-        "revision: found 18446744073709551615, right is a whole number from 1 to 1000000000";
+        "revision: found 18446744073709551615, expected a whole number from 1 to 1000000000";
     unknown_domain_out: |c| c.domains_out = ["d9".into()].into() =>
-        "domains_out: found \"d9\", right is one of \"d1\", \"d2\", \"d3\", \"d4\"";
+        "domains_out: found \"d9\", expected one of \"d1\", \"d2\", \"d3\", \"d4\"";
     all_domains_out: |c| c.domains_out = c.domains.clone() =>
-        "domains_out: found all failure domains, right is at least one in service";
+        "domains_out: found all failure domains, expected at least one in service";
     region_of_no_domain: |c| drop(c.regions.insert("d9".into(), "main".into())) =>
-        "regions.d9: found a region of an unknown failure domain, right is one of \"d1\", \"d2\", \"d3\", \"d4\"";
+        "regions.d9: found a region of an unknown failure domain, expected one of \"d1\", \"d2\", \"d3\", \"d4\"";
     unknown_class: |c| c.services.get_mut("archive").expect("service").class = "x".into() =>
-        "services.archive.class: found \"x\", right is one of \"archive\", \"name-search\", \"timetable\"";
+        "services.archive.class: found \"x\", expected one of \"archive\", \"name-search\", \"timetable\"";
     zero_slots: |c| c.services.get_mut("archive").expect("service").slots = 0 =>
-        "services.archive.slots: found 0, right is a whole number from 1 to 10000";
+        "services.archive.slots: found 0, expected a whole number from 1 to 10000";
     zero_cold_slots: |c| c.services.get_mut("archive").expect("service").cold_slots = 0 =>
-        "services.archive.cold_slots: found 0, right is a whole number from 1 to 10000";
+        "services.archive.cold_slots: found 0, expected a whole number from 1 to 10000";
     cold_above_warm: |c| c.services.get_mut("archive").expect("service").cold_slots = 9 =>
-        "services.archive.cold_slots: found 9, right is at most its slots, which are 3";
+        "services.archive.cold_slots: found 9, expected at most its slots, which are 3";
     absurd_allowance: |c| c.most_allowance_ms = 86_400_000 =>
-        "most_allowance_ms: found 86400000, right is a whole number from 1 to 600000";
+        "most_allowance_ms: found 86400000, expected a whole number from 1 to 600000";
     allowances_crossed: |c| c.least_allowance_ms = 20_000 =>
-        "least_allowance_ms: found 20000, right is at most most_allowance_ms, which is 10000";
+        "least_allowance_ms: found 20000, expected at most most_allowance_ms, which is 10000";
 }
 
 fn check(value: &Value) -> String {
@@ -78,7 +78,7 @@
     let value = json!({ "revision": 1, "hosts": { "h-1": host, "h-2": host } });
     assert!(check(&value).contains("10.0.0.1:80, which is also that of h-1"));
     let value = json!({ "revision": 1, "hosts": { "h-1": gone } });
-    assert!(check(&value).contains("hosts.h-1.state: found \"gone\", right is one of"));
+    assert!(check(&value).contains("hosts.h-1.state: found \"gone\", expected one of"));
 }
 
 const SETTINGS: &str = r#"{
@@ -123,8 +123,8 @@
     let report = daemon::resolve(Some(("s", SETTINGS)), &Map::new()).expect_err("missing");
     assert_eq!(
         report.to_string(),
-        "s:1: operator_address: found nothing, right is where operators connect, here or by --operator-address\n\
-         s:1: platform_address: found nothing, right is where the platform's configuration service listens, here or by --platform-address"
+        "s:1: operator_address: found nothing, expected where operators connect, here or by --operator-address\n\
+         s:1: platform_address: found nothing, expected where the platform's configuration service listens, here or by --platform-address"
     );
 }
 
@@ -134,7 +134,7 @@
     let report = daemon::resolve(Some(("s", SETTINGS)), &flags).expect_err("wrong");
     assert_eq!(
         report.to_string(),
-        "command line:1: log: found \"xml\", right is one of \"human\", \"json\"\n\
-         command line:1: node_address: found \"localhost:1\", right is an IP address with its port, like \"10.0.0.7:7070\""
+        "command line:1: log: found \"xml\", expected one of \"human\", \"json\"\n\
+         command line:1: node_address: found \"localhost:1\", expected an IP address with its port, like \"10.0.0.7:7070\""
     );
 }
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -56,7 +56,7 @@
     help_shows_exit_codes: ["check", "-h"] with 0, saying "Exit codes:";
     both_examples_are_right: ["check", NAFISA, KERALA] with 0, saying "right (answers)";
     questionnaire_goes_to_stdout: ["init"] with 0, saying "\"matters_most\"";
-    unknown_domain: ["domain", "out", "d9", NAFISA] with 1, saying "found \"d9\", right is one of \"d1\"";
+    unknown_domain: ["domain", "out", "d9", NAFISA] with 1, saying "found \"d9\", expected one of \"d1\"";
     decisions_are_told: ["configure", NAFISA] with 0, saying "because coverage matters most";
 }
 
--- a/crates/lentilliftd/tests/command.rs
+++ b/crates/lentilliftd/tests/command.rs
@@ -34,7 +34,7 @@
     missing_file: ["--settings", "/nonexistent", "--check"] with 2, saying ["read /nonexistent"];
     nothing_given: ["--check"] with 2, saying ["host: found nothing", "platform_address: found nothing"];
     wrong_flags: ["--settings", SETTINGS, "--check", "--log", "xml", "--node-address", "here"] with 2,
-        saying ["log: found \"xml\"", "node_address: found \"here\", right is an IP address"];
+        saying ["log: found \"xml\"", "node_address: found \"here\", expected an IP address"];
 }
 
 /// A second process is started on a host with the addresses of the first. It names the address
