--- a/crates/lentillift-settings/src/answers.rs
+++ b/crates/lentillift-settings/src/answers.rs
@@ -1,7 +1,7 @@
-//! Answers to the questionnaire, from which the configuration is generated.
+//! Answers to the questionnaire, the source from which the configuration is generated.
 
+use crate::consistency;
 use crate::document::Document;
-use crate::draft;
 use crate::fault::Result;
 use crate::policy;
 use crate::policy::Policy;
@@ -15,119 +15,119 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// The questionnaire with its explanations and an answer to each question.
+/// Text of the questionnaire: explanations of all fields, with valid example answers.
 pub const QUESTIONNAIRE: &str = include_str!("questionnaire.jsonc");
 
-/// Services that one entry of the answers may stand for.
-const MOST_COPIES: u64 = 1000;
+/// Most services that one entry of the answers may generate.
+const MAX_COPIES: u64 = 1000;
 
-/// What matters most when not everything can be had.
+/// The trade-off between coverage and latency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Aim {
-    /// Answers that cover all of the data.
+    /// Prefer answers that cover all of the data.
     Coverage,
-    /// Answers that are never late.
+    /// Prefer answers within the time objective.
     Latency,
 }
 
 /// A failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Domain {
-    /// The region it is in.
+    /// Name of the region that contains it.
     pub region: id::Region,
 }
 
-/// What operators have taken out of service.
+/// Failure domains and hosts that operators have taken out of service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Out {
-    /// Failure domains.
+    /// Names of failure domains.
     pub domains: BTreeSet<id::Domain>,
-    /// Hosts.
+    /// Names of hosts.
     pub hosts: BTreeSet<id::Host>,
 }
 
-/// A priority; its place in the list is its rank.
+/// A priority. Its index in the list is the rank of the generated class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Priority {
-    /// Its name.
+    /// Name of the generated class.
     pub name: id::Class,
-    /// Time in which 99 of 100 answers should be with their callers, in milliseconds.
+    /// Time objective: 99 of 100 answers should reach their callers within it, in milliseconds.
     pub answer_within_ms: u64,
 }
 
 /// A caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
-    /// Parts of the capacity that the caller gets when all want more.
+    /// Share of the capacity, relative to other callers, when all of them want more.
     pub share: u32,
-    /// The priority of its requests, where it isn't that of the service.
+    /// Priority of its requests; if none, that of the service.
     #[serde(default)]
     pub priority: Option<id::Class>,
 }
 
-/// A service, or several alike.
+/// A service, or several services with the same settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// How many services are alike; more than one get numbers behind their name.
-    #[serde(default = "one")]
+    /// Number of services to generate; with more than one, a number is appended to each name.
+    #[serde(default = "default_copies")]
     pub copies: u32,
-    /// Whether a request may run twice without harm.
+    /// Whether requests are idempotent: one that runs twice does no harm.
     pub may_be_repeated: bool,
-    /// The priority of its requests.
+    /// Priority of its requests, unless the caller has one of its own.
     pub priority: id::Class,
-    /// Its backend servers.
+    /// Number of backend servers of each service; used only to explain the capacity.
     pub backend_servers: u32,
-    /// Requests that a backend server runs at a time.
+    /// Most requests that a backend server runs at a time.
     pub slots: u32,
-    /// Requests that a backend server bears at a time in a cold start.
+    /// Most requests that a backend server runs at a time in a cold start.
     pub cold_slots: u32,
-    /// Connections that a backend server accepts.
+    /// Most connections that a backend server accepts.
     pub connections: u32,
-    /// Time to open a connection, in milliseconds.
+    /// Time to open a connection to a backend server, in milliseconds.
     pub connect_ms: u64,
 }
 
-fn one() -> u32 {
+fn default_copies() -> u32 {
     1
 }
 
-/// Bounds of the time that callers may allow for an answer.
+/// Bounds of the time allowance that callers state in requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Smallest, in milliseconds.
+    /// Smallest allowance, in milliseconds.
     pub least_ms: u64,
-    /// Largest, in milliseconds.
+    /// Largest allowance, in milliseconds.
     pub most_ms: u64,
 }
 
-/// All answers.
+/// Answers to all questions of the questionnaire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answers {
-    /// The revision; it only rises.
+    /// Revision of the generated configuration; it must increase with each change.
     pub revision: id::Revision,
-    /// Who runs the system.
+    /// Name of the organisation that runs the system.
     pub organisation: String,
-    /// What matters most.
+    /// The trade-off between coverage and latency.
     pub matters_most: Aim,
-    /// The failure domains.
+    /// Failure domains by name.
     pub domains: BTreeMap<id::Domain, Domain>,
-    /// What operators have taken out of service.
+    /// Failure domains and hosts that are out of service.
     pub out_of_service: Out,
-    /// The priorities, the first is served first.
+    /// Priorities; the first is served first and refused last.
     pub priorities: Vec<Priority>,
-    /// The callers.
+    /// Callers by name.
     pub callers: BTreeMap<id::Caller, Caller>,
-    /// The services.
+    /// Services by name.
     pub services: BTreeMap<id::Service, Service>,
-    /// Bounds of the time that callers may allow.
+    /// Bounds of the time allowance that callers state.
     pub allowance: Allowance,
-    /// Figures of the decisions under load that differ from the proven ones.
+    /// Parameters of overload control that differ from their defaults.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// The shape of answers.
+/// The shape of the answers.
 pub const SHAPE: Shape = Shape::Record(&[
     required("revision", review::REVISION),
     required("organisation", Shape::Text),
@@ -159,7 +159,7 @@
 ]);
 
 const SERVICE: Shape = Shape::Record(&[
-    optional("copies", Shape::Whole(1, MOST_COPIES)),
+    optional("copies", Shape::Whole(1, MAX_COPIES)),
     required("may_be_repeated", Shape::Flag),
     required("priority", Shape::Name),
     required("backend_servers", Shape::Whole(1, 100_000)),
@@ -175,16 +175,16 @@
 ]);
 
 impl Answers {
-    /// Parses and checks answers; `name` says in reports what was parsed.
+    /// Parses and validates answers; `name` is the name of the file in reports.
     ///
     /// # Errors
     ///
-    /// Reports all faults at once.
+    /// Returns a report of all faults, or of the first one if the text is not JSON with comments.
     pub fn parse(name: &str, text: &str) -> Result<Self> {
         let document = Document::parse(name, text)?;
         let mut faults = document.faults(&SHAPE);
-        faults.extend(draft::faults(&document.json()));
+        faults.extend(consistency::faults(&document.json()));
         document.ensure_no_faults(faults)?;
-        document.value()
+        document.deserialize()
     }
 }
--- a/crates/lentillift-settings/src/change.rs
+++ b/crates/lentillift-settings/src/change.rs
@@ -1,4 +1,4 @@
-//! What a new configuration changes in force, in words.
+//! Describes the differences between two configurations in plain sentences.
 
 use crate::config::Config;
 use crate::config::Kind;
@@ -9,37 +9,37 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// All that changes when `new` follows `old`.
+/// Describes each effect of replacing `old` by `new`, one sentence each.
 pub fn describe(old: &Config, new: &Config) -> Vec<String> {
     let mut changes = Vec::new();
     if new.revision <= old.revision && new != old {
         changes.push(format!(
-            "NOTHING comes in force: revision {} is not above {}, which every process holds.",
+            "NOTHING takes effect: revision {} is not above {}, which every process already has.",
             new.revision, old.revision
         ));
     }
-    names("failure domain", &old.domains, &new.domains, &mut changes);
-    out(
+    describe_names("failure domain", &old.domains, &new.domains, &mut changes);
+    describe_out_of_service(
         "failure domain",
         &old.domains_out,
         &new.domains_out,
         &mut changes,
     );
-    out("host", &old.hosts_out, &new.hosts_out, &mut changes);
-    entries("priority class", &old.classes, &new.classes, &mut changes);
-    entries("caller", &old.callers, &new.callers, &mut changes);
-    entries("service", &old.services, &new.services, &mut changes);
+    describe_out_of_service("host", &old.hosts_out, &new.hosts_out, &mut changes);
+    describe_entries("priority class", &old.classes, &new.classes, &mut changes);
+    describe_entries("caller", &old.callers, &new.callers, &mut changes);
+    describe_entries("service", &old.services, &new.services, &mut changes);
     for (name, service) in &new.services {
         if let Some(before) = old.services.get(name) {
-            warn(name, before, service, &mut changes);
+            warn_of_repeats(name, before, service, &mut changes);
         }
     }
-    rest(old, new, &mut changes);
+    describe_other_fields(old, new, &mut changes);
     changes
 }
 
-/// Fields that have a wording of their own above.
-const WORDED: [&str; 7] = [
+/// Fields that [`describe`] handles one by one; [`describe_other_fields`] covers all others.
+const DESCRIBED_FIELDS: [&str; 7] = [
     "revision",
     "domains",
     "domains_out",
@@ -49,7 +49,8 @@
     "services",
 ];
 
-fn names(
+/// Describes names that were added to or removed from a set.
+fn describe_names(
     what: &str,
     old: &BTreeSet<Arc<str>>,
     new: &BTreeSet<Arc<str>>,
@@ -63,16 +64,25 @@
     }
 }
 
-fn out(what: &str, old: &BTreeSet<Arc<str>>, new: &BTreeSet<Arc<str>>, changes: &mut Vec<String>) {
+/// Describes names that were added to or removed from a list of what is out of service.
+fn describe_out_of_service(
+    what: &str,
+    old: &BTreeSet<Arc<str>>,
+    new: &BTreeSet<Arc<str>>,
+    changes: &mut Vec<String>,
+) {
     for name in new.difference(old) {
-        changes.push(format!("The {what} {name} goes out: it gets no new work."));
+        changes.push(format!(
+            "The {what} {name} is taken out of service: it gets no new work."
+        ));
     }
     for name in old.difference(new) {
         changes.push(format!("The {what} {name} comes back into service."));
     }
 }
 
-fn entries<T>(
+/// Describes entries that were added, changed or removed.
+fn describe_entries<T>(
     what: &str,
     old: &BTreeMap<Arc<str>, T>,
     new: &BTreeMap<Arc<str>, T>,
@@ -82,7 +92,7 @@
 {
     for (name, entry) in new {
         match old.get(name) {
-            Some(before) => fields(
+            Some(before) => describe_fields(
                 &format!("{what} {name}"),
                 &json(before),
                 &json(entry),
@@ -93,13 +103,13 @@
     }
     for name in old.keys().filter(|name| !new.contains_key(*name)) {
         changes.push(format!(
-            "The {what} {name} is gone: its requests are refused."
+            "The {what} {name} is removed: its requests are refused."
         ));
     }
 }
 
-/// Says what a changed service means beyond its figures.
-fn warn(name: &str, old: &Service, new: &Service, changes: &mut Vec<String>) {
+/// Warns of a service whose requests may now run more than once.
+fn warn_of_repeats(name: &str, old: &Service, new: &Service, changes: &mut Vec<String>) {
     if (old.kind, new.kind) == (Kind::Action, Kind::Search) {
         changes.push(format!(
             "CAUTION: requests to {name} may run more than once from now on."
@@ -107,33 +117,38 @@
     }
 }
 
-/// Whatever has no wording of its own, field by field.
-fn rest(old: &Config, new: &Config, changes: &mut Vec<String>) {
+/// Describes changes of all fields outside [`DESCRIBED_FIELDS`].
+fn describe_other_fields(old: &Config, new: &Config, changes: &mut Vec<String>) {
     let strip = |config: &Config| match json(config) {
         Value::Object(mut object) => {
-            object.retain(|name, _| !WORDED.contains(&name.as_str()));
+            object.retain(|name, _| !DESCRIBED_FIELDS.contains(&name.as_str()));
             Value::Object(object)
         }
         other => other,
     };
-    fields("configuration", &strip(old), &strip(new), changes);
+    describe_fields("configuration", &strip(old), &strip(new), changes);
 }
 
-/// Names each field of two values that differs, with both contents.
-fn fields(what: &str, old: &Value, new: &Value, changes: &mut Vec<String>) {
+/// Describes each field that differs between two values, with its old and its new value.
+fn describe_fields(what: &str, old: &Value, new: &Value, changes: &mut Vec<String>) {
     if let (Value::Object(before), Value::Object(after)) = (old, new) {
         let names: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
         for name in names {
             let before = before.get(name).unwrap_or(&Value::Null);
             let after = after.get(name).unwrap_or(&Value::Null);
-            fields(&format!("{what}, {name}"), before, after, changes);
+            describe_fields(&format!("{what}, {name}"), before, after, changes);
         }
     } else if old != new {
-        changes.push(format!("The {what}: {} becomes {}.", word(old), word(new)));
+        changes.push(format!(
+            "The {what}: {} becomes {}.",
+            display(old),
+            display(new)
+        ));
     }
 }
 
-fn word(value: &Value) -> String {
+/// The text of a value in a sentence: strings without quotes, null as "nothing".
+fn display(value: &Value) -> String {
     match value {
         Value::Null => "nothing".to_owned(),
         Value::String(text) => text.clone(),
@@ -145,6 +160,6 @@
 where
     T: Serialize,
 {
-    // The types hold nothing that JSON could not.
+    // Cannot fail: every value of these types can be written as JSON.
     serde_json::to_value(value).unwrap_or(Value::Null)
 }
--- a/crates/lentillift-settings/src/config.rs
+++ b/crates/lentillift-settings/src/config.rs
@@ -1,4 +1,4 @@
-//! The published configuration that all processes share.
+//! The configuration that the platform publishes to all processes.
 
 use crate::policy;
 use crate::policy::Policy;
@@ -17,25 +17,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Searches: idempotent, sent to every shard.
+    /// Searches: idempotent queries, each sent to every shard.
     Search,
     /// Actions: each runs at most once, on one backend server.
     Action,
 }
 
-/// A service.
+/// Configuration of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether its requests may be repeated.
+    /// Whether its requests are queries or actions.
     pub kind: Kind,
-    /// The priority class of its requests.
+    /// Priority class of its requests, unless [`Policy::classes`] names another for the caller.
     pub class: id::Class,
-    /// Requests that one of its backend servers runs at a time.
+    /// Most requests that one of its backend servers runs at a time.
     pub slots: u32,
-    /// Connections that one of its backend servers accepts.
+    /// Most connections that one of its backend servers accepts.
     pub connections: u32,
-    /// Requests that one of its backend servers bears at a time in a cold start.
+    /// Most requests that one of its backend servers runs at a time in a cold start.
     pub cold_slots: u32,
     /// Time to open a connection to one of its backend servers, in milliseconds.
     pub connect_ms: u64,
@@ -45,33 +45,33 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Rank of the class; 0 is served first and refused last.
+    /// Rank of the class: 0 is served first and refused last.
     pub rank: u8,
-    /// Longest time a request of the class may wait in a queue, in milliseconds.
+    /// Longest time that a request of the class may wait in a queue, in milliseconds.
     pub queue_ms: u64,
 }
 
-/// A caller.
+/// Configuration of a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// Share of the capacity that the caller gets beside others, when all want more.
+    /// Share of the capacity, relative to other callers, when all of them want more.
     pub weight: u32,
 }
 
-/// The configuration that is in force everywhere.
+/// The configuration of the whole system, the same in every process.
 ///
 /// # Invariants
 ///
-/// A process that has accepted a revision never goes back to a lower one.
+/// A process that has accepted a revision never accepts a lower one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The revision; it only rises.
+    /// Revision of the configuration; later publications have higher numbers.
     pub revision: id::Revision,
-    /// The failure domains.
+    /// Names of the failure domains.
     pub domains: BTreeSet<id::Domain>,
-    /// The region of each failure domain; those that are not named are in one region together.
+    /// Region of each failure domain. Those that are not listed form one region together.
     #[serde(default)]
     pub regions: BTreeMap<id::Domain, id::Region>,
     /// Failure domains that operators have taken out of service.
@@ -80,46 +80,46 @@
     /// Hosts that operators have taken out of service.
     #[serde(default)]
     pub hosts_out: BTreeSet<id::Host>,
-    /// The priority classes.
+    /// Priority classes by name.
     pub classes: BTreeMap<id::Class, Class>,
-    /// The callers.
+    /// Callers by name.
     pub callers: BTreeMap<id::Caller, Caller>,
-    /// The services.
+    /// Services by name.
     pub services: BTreeMap<id::Service, Service>,
     /// Smallest time allowance that a caller may state, in milliseconds.
     pub least_allowance_ms: u64,
     /// Largest time allowance that a caller may state, in milliseconds.
     pub most_allowance_ms: u64,
-    /// Figures of the decisions under load.
+    /// Parameters of overload control.
     #[serde(default)]
     pub policy: Policy,
 }
 
 impl Config {
-    /// Whether `allowance` is one that a caller may state.
+    /// Whether a time allowance is within the bounds that callers may state.
     pub fn allows(&self, allowance: Duration) -> bool {
         let least = Duration::from_millis(self.least_allowance_ms);
         let most = Duration::from_millis(self.most_allowance_ms);
         (least..=most).contains(&allowance)
     }
 
-    /// The region that `domain` is in.
+    /// The region of a failure domain; the empty name if none is configured.
     pub fn region(&self, domain: &id::Domain) -> id::Region {
         self.regions.get(domain).cloned().unwrap_or_default()
     }
 
-    /// Whether operators have taken a host, or the failure domain it is in, out of service.
+    /// Whether operators have taken a host or its failure domain out of service.
     pub fn is_out(&self, host: &id::Host, domain: &id::Domain) -> bool {
         self.hosts_out.contains(host) || self.domains_out.contains(domain)
     }
 
-    /// The priority class of a caller's requests to a service.
+    /// The priority class of a caller's requests to a service; none if it is not configured.
     pub fn class(&self, service: &Service, caller: &str) -> Option<&Class> {
         let name = self.policy.classes.get(caller).unwrap_or(&service.class);
         self.classes.get(name)
     }
 
-    /// All that makes the configuration unfit to be in force.
+    /// All faults for which a process rejects the configuration, each as a sentence.
     pub fn faults(&self) -> Vec<String> {
         let faults = review::config(self).into_iter();
         faults.map(|fault| fault.to_string()).collect()
--- a/crates/lentillift-settings/src/draft.rs
+++ b/crates/lentillift-settings/src/consistency.rs
@@ -1,7 +1,7 @@
-//! Faults of answers that concern more than one field.
+//! Checks of answers that involve more than one field.
 //!
-//! They are looked for in whatever part of the answers has its right shape, so that a mistake in
-//! one place hides none in another.
+//! Each check runs on the parts of the answers that have the expected shape, so that a fault in one
+//! part does not hide faults in another.
 
 use crate::answers::Allowance;
 use crate::answers::Out;
@@ -15,32 +15,33 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// All faults between fields of `answers`.
+/// Returns all faults that involve more than one field of `answers`.
 pub fn faults(answers: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
-    presence(answers, &mut faults);
-    domains(answers, &mut faults);
-    priorities(answers, &mut faults);
-    services(answers, &mut faults);
-    if let Some(Allowance { least_ms, most_ms }) = part(&answers["allowance"])
+    check_presence(answers, &mut faults);
+    check_domains(answers, &mut faults);
+    check_priorities(answers, &mut faults);
+    check_services(answers, &mut faults);
+    if let Some(Allowance { least_ms, most_ms }) = decode_part(&answers["allowance"])
         && least_ms > most_ms
     {
-        let right = format!("at most most_ms, which is {most_ms}");
+        let expected = format!("at most most_ms, which is {most_ms}");
         let path = ["allowance", "least_ms"];
-        faults.push(Fault::new(path, least_ms.to_string(), right));
+        faults.push(Fault::new(path, least_ms.to_string(), expected));
     }
     faults
 }
 
-/// A part of the answers, if it has its right shape.
-fn part<T>(value: &Value) -> Option<T>
+/// Decodes a part of the answers; none if it does not have the expected shape.
+fn decode_part<T>(value: &Value) -> Option<T>
 where
     T: DeserializeOwned,
 {
     T::deserialize(value).ok()
 }
 
-fn presence(answers: &Value, faults: &mut Vec<Fault>) {
+/// Checks that no required collection is empty.
+fn check_presence(answers: &Value, faults: &mut Vec<Fault>) {
     for field in ["domains", "priorities", "callers", "services"] {
         let empty = match &answers[field] {
             Value::Object(object) => object.is_empty(),
@@ -53,11 +54,12 @@
     }
 }
 
-fn domains(answers: &Value, faults: &mut Vec<Fault>) {
+/// Checks that failure domains out of service are known, and that not all are out of service.
+fn check_domains(answers: &Value, faults: &mut Vec<Fault>) {
     let path = ["out_of_service", "domains"];
     let (Some(known), Some(out)) = (
         answers["domains"].as_object(),
-        part::<Out>(&answers["out_of_service"]),
+        decode_part::<Out>(&answers["out_of_service"]),
     ) else {
         return;
     };
@@ -81,13 +83,15 @@
     }
 }
 
-fn priorities(answers: &Value, faults: &mut Vec<Fault>) {
+/// Checks that priorities have unique names, objectives within the largest allowance, and ranks
+/// that fit into a `u8`.
+fn check_priorities(answers: &Value, faults: &mut Vec<Fault>) {
     let list = answers["priorities"].as_array();
     let list = list.map_or(&[] as &[Value], Vec::as_slice);
-    let most = part::<Allowance>(&answers["allowance"]).map(|allowance| allowance.most_ms);
+    let most = decode_part::<Allowance>(&answers["allowance"]).map(|allowance| allowance.most_ms);
     let mut names = BTreeSet::new();
     for (at, value) in list.iter().enumerate() {
-        let Some(priority) = part::<Priority>(value) else {
+        let Some(priority) = decode_part::<Priority>(value) else {
             continue;
         };
         let at = at.to_string();
@@ -101,8 +105,8 @@
         {
             let path = ["priorities", &at, "answer_within_ms"];
             let found = priority.answer_within_ms.to_string();
-            let right = format!("at most allowance.most_ms, which is {most}");
-            faults.push(Fault::new(path, found, right));
+            let expected = format!("at most allowance.most_ms, which is {most}");
+            faults.push(Fault::new(path, found, expected));
         }
     }
     if list.len() > usize::from(u8::MAX) {
@@ -111,7 +115,8 @@
     }
 }
 
-fn services(answers: &Value, faults: &mut Vec<Fault>) {
+/// Checks priorities of services and callers, limits of services, and the policy.
+fn check_services(answers: &Value, faults: &mut Vec<Fault>) {
     let names = answers["priorities"].as_array();
     let names = names.map(|list| list.iter().filter_map(|value| value["name"].as_str()));
     let names: Option<Vec<&str>> = names.map(Iterator::collect);
@@ -126,7 +131,7 @@
         }
     }
     for (name, value) in answers["services"].as_object().into_iter().flatten() {
-        if let Some(service) = part::<Service>(value) {
+        if let Some(service) = decode_part::<Service>(value) {
             let limits = review::Limits {
                 slots: service.slots,
                 cold_slots: service.cold_slots,
@@ -135,7 +140,7 @@
             limits.check(name, faults);
         }
     }
-    if let Some(policy) = part::<Policy>(&answers["policy"]) {
+    if let Some(policy) = decode_part::<Policy>(&answers["policy"]) {
         faults.extend(policy.faults());
     }
 }
--- a/crates/lentillift-settings/src/daemon.rs
+++ b/crates/lentillift-settings/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Settings of one process, from a settings file and command line flags.
 
 use crate::document::Document;
 use crate::fault::Fault;
@@ -14,59 +14,61 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Settings of one process; each may also be given on the command line.
+/// Settings of one process. Each may be given in the settings file or as a flag.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name.
+    /// Name of the host.
     pub host: id::Host,
-    /// The failure domain the host is in.
+    /// Name of the failure domain that the host is in.
     pub domain: id::Domain,
-    /// Where callers connect.
+    /// Address to listen on for callers.
     pub caller_address: SocketAddr,
-    /// Where the system's other processes connect.
+    /// Address to listen on for the system's other processes.
     pub node_address: SocketAddr,
-    /// Where operators connect.
+    /// Address to listen on for operators.
     pub operator_address: SocketAddr,
-    /// Where the platform's configuration service listens.
+    /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Node addresses of some other processes, which a start asks when the platform can't be read.
+    /// Node addresses of some other processes, from which the process reads published values at
+    /// startup if the configuration service cannot be read.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people to read.
     #[default]
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// All that a process is started with.
+/// Settings and log format with which a process starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOptions {
-    /// The settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// How log lines are written.
+    /// Format of log lines.
     pub log: LogFormat,
 }
 
-/// A setting, its shape, and what it is for.
+/// Name, shape and description of a setting.
 #[derive(Debug, Clone, Copy)]
 pub struct Setting {
-    /// The field in the settings file; the flag is the same with dashes.
+    /// Name of the field in the settings file; the flag has dashes in place of underscores.
     pub name: &'static str,
-    /// What it is for.
+    /// Description, shown by `--help` and in faults.
     pub help: &'static str,
     shape: Shape,
     required: bool,
 }
 
-const fn item(name: &'static str, shape: Shape, help: &'static str) -> Setting {
+/// A setting without a default.
+const fn required(name: &'static str, shape: Shape, help: &'static str) -> Setting {
     Setting {
         name,
         help,
@@ -76,7 +78,8 @@
 }
 
 impl Setting {
-    /// The value of a flag as it would stand in the file.
+    /// Converts the text of a flag to the value that the settings file would have; lists are
+    /// separated by commas.
     pub fn value(&self, text: &str) -> Value {
         match self.shape {
             Shape::List(_) => text.split(',').map(Value::from).collect(),
@@ -85,25 +88,29 @@
     }
 }
 
-/// All settings.
+/// All settings, in the order of `--help`.
 pub const SETTINGS: [Setting; 8] = [
-    item("host", Shape::Name, "name of the host"),
-    item("domain", Shape::Name, "failure domain the host is in"),
-    item("caller_address", Shape::Address, "where callers connect"),
-    item(
+    required("host", Shape::Name, "name of the host"),
+    required("domain", Shape::Name, "failure domain that the host is in"),
+    required(
+        "caller_address",
+        Shape::Address,
+        "address to listen on for callers",
+    ),
+    required(
         "node_address",
         Shape::Address,
-        "where the system's other processes connect",
+        "address to listen on for the system's other processes",
     ),
-    item(
+    required(
         "operator_address",
         Shape::Address,
-        "where operators connect",
+        "address to listen on for operators",
     ),
-    item(
+    required(
         "platform_address",
         Shape::Address,
-        "where the platform's configuration service listens",
+        "address of the platform's configuration service",
     ),
     Setting {
         name: "seeds",
@@ -113,13 +120,13 @@
     },
     Setting {
         name: "log",
-        help: "how log lines are written: human or json",
+        help: "format of log lines: human or json",
         shape: Shape::Choice(&["human", "json"]),
         required: false,
     },
 ];
 
-/// The shape of a settings file. All fields may be left to flags.
+/// The shape of a settings file. Every field is optional, since a flag may give it instead.
 pub const SHAPE: Shape = Shape::Record(&[
     optional(SETTINGS[0].name, SETTINGS[0].shape),
     optional(SETTINGS[1].name, SETTINGS[1].shape),
@@ -131,11 +138,12 @@
     optional(SETTINGS[7].name, SETTINGS[7].shape),
 ]);
 
-/// Puts a settings file and flags together; a flag wins over the file.
+/// Combines a settings file, as its name and text, with flags; a flag overrides the file.
 ///
 /// # Errors
 ///
-/// Reports all faults of the file, else all of the flags, else all that neither gives.
+/// Returns a report of all faults of the file, else of all faults of the flags, else of all
+/// required settings that neither gives.
 pub fn resolve(file: Option<(&str, &str)>, flags: &Map<String, Value>) -> Result<StartOptions> {
     let mut settings: Map<String, Value> = match file {
         Some((name, text)) => Document::parse(name, text)?.decode(&SHAPE)?,
@@ -145,39 +153,40 @@
     let flags: Map<String, Value> = Document::parse("command line", &text)?.decode(&SHAPE)?;
     settings.extend(flags);
     let name = file.map_or("command line", |(name, _)| name);
-    let missing = SETTINGS.iter().filter(|item| item.required);
-    let missing = missing.filter(|item| !settings.contains_key(item.name));
-    let faults = missing.map(|item| {
-        let right = format!("{}, here or by --{}", item.help, flag(item.name));
-        Fault::new([item.name], "nothing", right)
+    let missing = SETTINGS.iter().filter(|setting| setting.required);
+    let missing = missing.filter(|setting| !settings.contains_key(setting.name));
+    let faults = missing.map(|setting| {
+        let expected = format!("the {}, here or as --{}", setting.help, flag(setting.name));
+        Fault::new([setting.name], "nothing", expected)
     });
-    report(name, faults.collect())?;
+    ensure_no_faults(name, faults.collect())?;
     let log = settings.remove("log").unwrap_or_else(|| "human".into());
     let decoded = serde_json::from_value(log).and_then(|log| {
         let settings = serde_json::from_value(Value::Object(settings))?;
         Ok(StartOptions { settings, log })
     });
     decoded.map_err(|e| {
-        // Only where a shape and its type have come apart.
+        // Reached only if `SHAPE` and the type `Settings` do not agree.
         let fault = Fault::new(Vec::<String>::new(), e.to_string(), "a value of the type");
-        first(name, vec![fault])
+        report_at_first_line(name, vec![fault])
     })
 }
 
-/// The flag of a setting.
+/// Name of the flag for a field of the settings file.
 pub fn flag(name: &str) -> String {
     name.replace('_', "-")
 }
 
-fn report(name: &str, faults: Vec<Fault>) -> Result<()> {
+/// Returns a report unless there are no faults.
+fn ensure_no_faults(name: &str, faults: Vec<Fault>) -> Result<()> {
     match faults.is_empty() {
         true => Ok(()),
-        false => Err(first(name, faults)),
+        false => Err(report_at_first_line(name, faults)),
     }
 }
 
-/// A report of faults that have no line of their own.
-fn first(name: &str, faults: Vec<Fault>) -> Report {
+/// A report of faults that belong to no line; all name line 1.
+fn report_at_first_line(name: &str, faults: Vec<Fault>) -> Report {
     let lines = faults.into_iter().map(|fault| Line { line: 1, fault });
     Report {
         file: name.to_owned(),
--- a/crates/lentillift-settings/src/depth.rs
+++ b/crates/lentillift-settings/src/depth.rs
@@ -1,18 +1,18 @@
-//! A bound on how deep JSON may be nested.
+//! Limit on the nesting depth of JSON.
 //!
-//! The parser calls itself for each level. A value of a megabyte of opening brackets, published
-//! by mistake, would overflow the stack and end every process of the fleet at once, and again at
-//! each start. Nothing that the system reads is nested more than ten levels deep.
+//! The parser recurses for each level. A value of a megabyte of opening brackets, published by
+//! mistake, would overflow the stack and crash every process of the fleet at the same time, and
+//! again at each restart. Nothing that the system reads is nested more than ten levels deep.
 
 use jsonc_parser::Scanner;
 use jsonc_parser::tokens::Token;
 
-/// Levels that JSON may have.
-pub const MOST: u32 = 32;
+/// Most levels of nested brackets.
+pub const MAX_LEVELS: u32 = 32;
 
-/// Where in `text` brackets nest deeper than [`MOST`], if they do.
+/// Byte offset of the first bracket in `text` that is nested deeper than [`MAX_LEVELS`], if any.
 ///
-/// What is no JSON is left to the parser to report.
+/// Stops at the first invalid token, which the parser reports.
 pub fn exceeded(text: &str) -> Option<usize> {
     let mut scanner = Scanner::new(text);
     let mut depth = 0_u32;
@@ -22,7 +22,7 @@
             Token::CloseBrace | Token::CloseBracket => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > MOST {
+        if depth > MAX_LEVELS {
             return Some(scanner.token_start());
         }
     }
--- a/crates/lentillift-settings/src/document.rs
+++ b/crates/lentillift-settings/src/document.rs
@@ -1,4 +1,4 @@
-//! A text of JSON with comments, parsed with the places of its fields.
+//! JSON with comments, parsed together with the positions of its fields.
 
 use crate::depth;
 use crate::fault::Fault;
@@ -12,7 +12,7 @@
 use jsonc_parser::common::Ranged;
 use serde::de::DeserializeOwned;
 
-/// A parsed text.
+/// A parsed text whose faults are reported with their line numbers.
 #[derive(Debug)]
 pub struct Document<'a> {
     name: &'a str,
@@ -21,11 +21,12 @@
 }
 
 impl<'a> Document<'a> {
-    /// Parses `text`; `name` says in reports what was parsed.
+    /// Parses `text`; `name` is the name of the text in reports.
     ///
     /// # Errors
     ///
-    /// Reports the first place where the text is not JSON with comments.
+    /// Reports the first line where the text is not JSON with comments, or where brackets are nested
+    /// deeper than [`depth::MAX_LEVELS`].
     pub fn parse(name: &'a str, text: &'a str) -> Result<Self> {
         let report = |line, found: String| Report {
             file: name.to_owned(),
@@ -37,7 +38,7 @@
         if let Some(at) = depth::exceeded(text) {
             return Err(report(
                 line_at(text, at),
-                format!("more than {} nested brackets", depth::MOST),
+                format!("more than {} nested brackets", depth::MAX_LEVELS),
             ));
         }
         let options = ParseOptions {
@@ -52,43 +53,43 @@
         Ok(Self { name, text, root })
     }
 
-    /// Whether the outermost value has a field of this name.
-    pub fn has(&self, field: &str) -> bool {
+    /// Whether the outermost value is an object with a field of this name.
+    pub fn has_field(&self, field: &str) -> bool {
         let root = self.root.as_object();
         root.is_some_and(|object| object.get(field).is_some())
     }
 
-    /// All that differs from `shape`.
+    /// Returns every difference from `shape`.
     pub fn faults(&self, shape: &Shape) -> Vec<Fault> {
         let mut faults = Vec::new();
         shape.check(&mut Vec::new(), &self.root, &mut faults);
         faults
     }
 
-    /// The value without its comments.
+    /// Converts the value to JSON, without its comments.
     pub fn json(&self) -> serde_json::Value {
         self.root.clone().into()
     }
 
-    /// Decodes the value if it has the right shape.
+    /// Checks the value against `shape` and deserialises it.
     ///
     /// # Errors
     ///
-    /// Reports all that differs from `shape`.
+    /// Reports every difference from `shape`, or the first error of the deserialisation.
     pub fn decode<T>(&self, shape: &Shape) -> Result<T>
     where
         T: DeserializeOwned,
     {
         self.ensure_no_faults(self.faults(shape))?;
-        self.value()
+        self.deserialize()
     }
 
-    /// Decodes the value.
+    /// Deserialises the value without a check of its shape.
     ///
     /// # Errors
     ///
-    /// Reports the first thing that the type does not take.
-    pub fn value<T>(&self) -> Result<T>
+    /// Reports the first error of the deserialisation, at the line where the value starts.
+    pub fn deserialize<T>(&self) -> Result<T>
     where
         T: DeserializeOwned,
     {
@@ -99,11 +100,11 @@
         })
     }
 
-    /// Turns faults into a report, or none into success.
+    /// Succeeds if `faults` is empty.
     ///
     /// # Errors
     ///
-    /// Reports `faults` with their lines.
+    /// Reports `faults`, sorted by line.
     pub fn ensure_no_faults(&self, faults: Vec<Fault>) -> Result<()> {
         match faults.is_empty() {
             true => Ok(()),
@@ -113,7 +114,7 @@
 
     fn report(&self, faults: Vec<Fault>) -> Report {
         let lines = faults.into_iter().map(|fault| Line {
-            line: self.line(&fault.path),
+            line: self.line_of(&fault.path),
             fault,
         });
         let mut faults: Vec<Line> = lines.collect();
@@ -124,15 +125,15 @@
         }
     }
 
-    /// The line of the field at `path`, or of the innermost field around it that is there.
-    fn line(&self, path: &[String]) -> usize {
+    /// Line of the field at `path`, or of the innermost enclosing field that exists.
+    fn line_of(&self, path: &[String]) -> usize {
         let mut value = &self.root;
         let mut start = value.start();
         for name in path {
             let next = match value {
                 Value::Object(object) => {
                     let properties = object.properties.iter();
-                    // The last of a field that stands twice is the one to take away.
+                    // Of a duplicate field, the last one is the one to remove.
                     properties
                         .rev()
                         .find(|property| property.name.as_str() == name)
@@ -153,6 +154,7 @@
     }
 }
 
+/// Number of the line that contains the byte offset `at`; the first is 1.
 fn line_at(text: &str, at: usize) -> usize {
     let before = text.as_bytes().iter().take(at);
     before.filter(|byte| **byte == b'\n').count() + 1
--- a/crates/lentillift-settings/src/fault.rs
+++ b/crates/lentillift-settings/src/fault.rs
@@ -1,14 +1,15 @@
-//! What is wrong with a value, where it stands, and what would be right.
+//! Faults of a text: the field, what was found there, and what was expected.
 
 use serde::Serialize;
 use std::fmt;
 
-/// Something wrong with one field.
+/// A fault of one field.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The field, from the outermost to the innermost name.
+    /// Names of the enclosing fields and of the field itself, outermost first; empty for the whole
+    /// text.
     pub path: Vec<String>,
-    /// What was found there.
+    /// What was found there, in words.
     pub found: String,
     /// What the check expects, in words.
     #[serde(rename = "right")]
@@ -16,7 +17,7 @@
 }
 
 impl Fault {
-    /// Makes a fault of the field at `path`.
+    /// Creates a fault of the field at `path`.
     pub fn new<P, S>(path: P, found: impl Into<String>, expected: impl Into<String>) -> Self
     where
         P: IntoIterator<Item = S>,
@@ -39,22 +40,22 @@
     }
 }
 
-/// A fault and its line.
+/// A fault and the line where it was found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// The line's number; the first is 1.
+    /// Number of the line; the first is 1.
     pub line: usize,
-    /// The fault.
+    /// The fault found there.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// All faults of one text, in the order of their lines.
+/// All faults of one text, sorted by line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// The file, key or other name of the text.
+    /// Name of the file, key of the published value, or other name of the text.
     pub file: String,
-    /// The faults.
+    /// The faults, by line.
     // INVARIANT: Never empty.
     pub faults: Vec<Line>,
 }
--- a/crates/lentillift-settings/src/jsonc.rs
+++ b/crates/lentillift-settings/src/jsonc.rs
@@ -1,4 +1,4 @@
-//! Reading JSON with comments.
+//! Deserialisation of JSON with comments.
 
 use crate::document::Document;
 use lentillift_core::error::Error;
@@ -6,16 +6,17 @@
 use lentillift_core::error::Step;
 use serde::de::DeserializeOwned;
 
-/// Parses JSON with comments; `name` says in errors what was parsed.
+/// Parses JSON with comments into `T`; `name` is the name of the text in errors.
 ///
 /// # Errors
 ///
-/// Names the line and the field where the text is not what `T` asks for.
+/// Returns a [`Step::Decode`] error with the first fault: the line of invalid JSON, or the error of
+/// the deserialisation.
 pub fn parse<T>(name: &str, text: &str) -> Result<T>
 where
     T: DeserializeOwned,
 {
     let document = Document::parse(name, text);
-    let value = document.and_then(|document| document.value());
+    let value = document.and_then(|document| document.deserialize());
     value.map_err(|e| Error::new(Step::Decode, name, e))
 }
--- a/crates/lentillift-settings/src/kind.rs
+++ b/crates/lentillift-settings/src/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of text that the system reads, told apart by their fields.
+//! Kinds of files and published values, detected by their fields.
 
 use crate::answers::Answers;
 use crate::config;
@@ -15,23 +15,23 @@
 use serde_json::Value;
 use std::fmt;
 
-/// A kind of text.
+/// A kind of file or published value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Answers to the questionnaire.
     Answers,
-    /// A configuration.
+    /// A published configuration.
     Config,
-    /// A daemon's settings.
+    /// Settings of one process.
     Settings,
-    /// A service's placement.
+    /// A published placement of a service.
     Placement,
-    /// A list of hosts.
+    /// A published list of hosts.
     Hosts,
 }
 
-/// Fields by which kinds are told apart, the surest first.
-const MARKS: [(&str, Kind); 9] = [
+/// Fields that identify a kind, the most specific first; the first one present decides.
+const IDENTIFYING_FIELDS: [(&str, Kind); 9] = [
     ("matters_most", Kind::Answers),
     ("out_of_service", Kind::Answers),
     ("priorities", Kind::Answers),
@@ -44,17 +44,19 @@
 ];
 
 impl Kind {
-    /// The kind that a text's fields tell of.
+    /// Detects the kind of a text by its fields; settings if no field identifies another kind.
     pub fn detect(document: &Document<'_>) -> Self {
-        let mark = MARKS.iter().find(|(field, _)| document.has(field));
-        mark.map_or(Self::Settings, |(_, kind)| *kind)
+        let identified = IDENTIFYING_FIELDS
+            .iter()
+            .find(|(field, _)| document.has_field(field));
+        identified.map_or(Self::Settings, |(_, kind)| *kind)
     }
 
-    /// Checks a text as one of this kind.
+    /// Validates a text as one of this kind; `name` is the name of the text in reports.
     ///
     /// # Errors
     ///
-    /// Reports all faults at once.
+    /// Returns a report of all faults, or of the first one if the text is not JSON with comments.
     pub fn check(self, name: &str, text: &str) -> Result<()> {
         let document = Document::parse(name, text)?;
         match self {
@@ -71,7 +73,7 @@
                 let mut faults = document.faults(&placement::SHAPE);
                 faults.extend(review::placement(&document.json()));
                 document.ensure_no_faults(faults)?;
-                document.value::<Placement>().map(drop)
+                document.deserialize::<Placement>().map(drop)
             }
             Self::Hosts => {
                 let roster: Roster = document.decode(&roster::SHAPE)?;
--- a/crates/lentillift-settings/src/lib.rs
+++ b/crates/lentillift-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings of a process, the published configuration, and their checks.
+//! Settings of a process, values that the platform publishes, and the validation of both.
 //!
-//! The platform publishes three kinds of value, each with a revision of its own:
+//! The platform publishes three kinds of values, each with a revision of its own:
 //! [`config::Config`] under `config`, [`roster::Roster`] under `hosts`, and one
 //! [`placement::Placement`] per service under `service/NAME`.
 
@@ -9,10 +9,10 @@
 pub mod answers;
 pub mod change;
 pub mod config;
+pub mod consistency;
 pub mod daemon;
 pub mod depth;
 pub mod document;
-pub mod draft;
 pub mod fault;
 pub mod generate;
 pub mod jsonc;
--- a/crates/lentillift-settings/src/placement.rs
+++ b/crates/lentillift-settings/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where a service's data is: its backend servers and its snapshots' shard maps.
+//! Published placement of a service: its backend servers and the shard maps of its snapshots.
 
 use crate::review;
 use crate::shape::Shape;
@@ -14,40 +14,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It takes work.
+    /// It accepts new work.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes the work it has and accepts no new work.
     Leaving,
 }
 
 /// A backend server as the platform publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// The failure domain it is in.
+    /// Name of the failure domain that it is in.
     pub domain: id::Domain,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub state: State,
 }
 
 /// The published placement of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The revision; it only rises.
+    /// Revision of the placement; later publications have higher numbers.
     pub revision: id::Revision,
-    /// The service's backend servers.
+    /// Backend servers of the service by name.
     pub servers: BTreeMap<id::Backend, Server>,
-    /// The shard maps of the snapshots that may be served, newest first.
+    /// Shard maps of the snapshots that may be searched, newest first.
     ///
-    /// A service of actions has none.
+    /// Empty for a service of actions.
     pub maps: Vec<Map>,
 }
 
 impl Placement {
-    /// All that makes the placement unfit to be in force.
+    /// All faults for which a process rejects the placement, each as a sentence.
     pub fn faults(&self) -> Vec<String> {
-        // The type holds nothing that JSON could not.
+        // Cannot fail: every value of the type can be written as JSON.
         let value = serde_json::to_value(self).unwrap_or_default();
         let faults = review::placement(&value).into_iter();
         faults.map(|fault| fault.to_string()).collect()
@@ -61,7 +61,7 @@
     required("maps", Shape::List(&MAP)),
 ]);
 
-/// The shape of a backend server or a host as the platform publishes it.
+/// The shape of a published backend server or host.
 pub(crate) const SERVER: Shape = Shape::Record(&[
     required("address", Shape::Address),
     required("domain", Shape::Name),
--- a/crates/lentillift-settings/src/policy.rs
+++ b/crates/lentillift-settings/src/policy.rs
@@ -1,8 +1,8 @@
-//! Figures of the decisions under load, each with a default and a switch.
+//! Parameters of overload control, with their defaults.
 //!
-//! A load run compares a decision with its absence by turning its switch off; everything is on
-//! unless the configuration says otherwise. Shares are in percent, so that a configuration can be
-//! compared bit by bit.
+//! Most mechanisms have a switch, so that a load test can compare the system with and without them;
+//! all are on by default. Shares are whole percentages and not floating point numbers, so that
+//! configurations can be compared for exact equality.
 
 use crate::fault::Fault;
 use crate::shape::Shape;
@@ -12,38 +12,38 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Figures of all decisions under load.
+/// Parameters of all mechanisms of overload control.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Priority classes of callers whose queries do not have their service's class.
+    /// Priority classes of callers whose requests do not have the class of the service.
     pub classes: BTreeMap<id::Caller, id::Class>,
-    /// Which queries an entry takes.
+    /// Which queries an entry admits.
     pub admission: Admission,
-    /// Which sub-request a backend server gets next.
+    /// Which queued sub-request an owner sends to its backend server next.
     pub queue: Queue,
-    /// Whether identical queries share a run.
+    /// Whether identical concurrent queries share one execution.
     pub coalescing: Coalescing,
-    /// How many requests a warm backend server gets at a time.
+    /// How many requests may be in flight at a warm backend server.
     pub slots: Slots,
-    /// How many requests a cold backend server gets at a time.
+    /// How many requests may be in flight at a backend server in a cold start.
     pub warmup: Warmup,
-    /// Which replica of a shard is asked.
+    /// Which replica of a shard receives a sub-request.
     pub choice: Choice,
-    /// When a second replica is asked as well.
+    /// When a second replica receives the same sub-request.
     pub hedge: Hedge,
     /// When a failed sub-request is sent again.
     pub retry: Retry,
-    /// What is done about requests that end backend servers.
+    /// How requests that make backend servers terminate are handled.
     pub quarantine: Quarantine,
-    /// When an answer is given although shards are missing.
+    /// When an answer is sent although shards are missing.
     pub partial: Partial,
-    /// When a backend server gets nothing.
+    /// When an owner pauses a backend server.
     pub health: Health,
 }
 
 impl Policy {
-    /// Switches off every decision that has a switch, as a baseline for load runs.
+    /// Switches off every mechanism that has a switch, as a baseline for load tests.
     pub fn switch_off(&mut self) {
         self.admission.on = false;
         self.queue.on = false;
@@ -58,19 +58,19 @@
     }
 }
 
-/// Figures of the admission at an entry.
+/// Parameters of admission control at an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Admission {
     /// Whether it is on.
     pub on: bool,
-    /// Time over which refusals by owners are counted, in milliseconds.
+    /// Length of the window in which refusals by owners are counted, in milliseconds.
     pub window_ms: u64,
-    /// Share of refused sub-requests in a window that is held for overload, in percent.
+    /// Share of refused sub-requests in a window that indicates overload, in percent.
     pub refused_percent: u32,
-    /// By how much the admitted rate falls after a window with overload, in percent.
+    /// Decrease of the admitted rate after a window with overload, in percent.
     pub fall_percent: u32,
-    /// By how much the admitted rate rises after a window without, in percent.
+    /// Increase of the admitted rate after a window without overload, in percent.
     pub rise_percent: u32,
 }
 
@@ -86,16 +86,16 @@
     }
 }
 
-/// Figures of an owner's queue.
+/// Parameters of an owner's queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Queue {
-    /// Whether it is on; without it sub-requests go in the order of their arrival.
+    /// Whether it is on; if off, sub-requests are sent in order of arrival.
     pub on: bool,
-    /// How many times the service's usual time a long request takes at least.
+    /// Least run time of a request that counts as long, as a multiple of the service's usual time.
     pub long_factor: u32,
-    /// Use from which a caller leaves the last slot to others, in percent of its fair share; 0 for
-    /// never.
+    /// Use from which a caller may not take the last free slot, in percent of its fair share; 0
+    /// disables the limit.
     pub excess_percent: u32,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// Figures of the coalescing of identical queries.
+/// Parameters of the coalescing of identical queries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Coalescing {
@@ -123,17 +123,17 @@
     }
 }
 
-/// Figures of the adaptive slot limit.
+/// Parameters of the adaptive concurrency limit of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Slots {
-    /// Whether it is on; without it the published limit is always used in full.
+    /// Whether it is on; if off, the limit is always the configured number of slots.
     pub on: bool,
-    /// Latency that counts as slow, in percent of the backend server's baseline.
+    /// Latency from which a reply counts as slow, in percent of the backend server's baseline.
     pub slow_percent: u32,
-    /// Slow replies, less quick ones, that lower the limit by one.
+    /// Number of slow replies minus quick ones that lowers the limit by one.
     pub slow_replies: u32,
-    /// Quick replies, less three for each slow one, that raise the limit by one.
+    /// Number of quick replies, minus three for each slow one, that raises the limit by one.
     pub quick_replies: u32,
 }
 
@@ -148,19 +148,19 @@
     }
 }
 
-/// Figures of the warm-up.
+/// Parameters of the warm-up of a backend server after a cold start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Warmup {
-    /// Whether it is on; without it a cold backend server gets its full share at once.
+    /// Whether it is on; if off, a cold backend server has its full limit at once.
     pub on: bool,
-    /// Successes that raise the limit by one.
+    /// Number of successes that raises the limit by one.
     pub successes: u32,
-    /// Latency that is held for a sign of a cold start, in percent of the baseline.
+    /// Latency that indicates a cold start, in percent of the baseline.
     pub jump_percent: u32,
-    /// Replies in a row with such a latency that make the sign.
+    /// Number of consecutive replies with such a latency that count as a cold start.
     pub jump_replies: u32,
-    /// How long a backend server's own word that it is cold outweighs good results, in
+    /// How long a backend server's own report of a cold start takes precedence over good results, in
     /// milliseconds.
     pub report_ms: u64,
 }
@@ -177,15 +177,15 @@
     }
 }
 
-/// Figures of the choice of a replica.
+/// Parameters of the selection of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Choice {
-    /// Whether it is on; without it a replica is drawn at random.
+    /// Whether it is on; if off, a replica is chosen at random.
     pub on: bool,
-    /// Age from which an owner's load counts are no longer believed, in milliseconds.
+    /// Age from which the load that an owner reported is stale and ignored, in milliseconds.
     pub age_ms: u64,
-    /// By how much a replica in another failure domain must be better, in percent.
+    /// Advantage that a replica in another failure domain must have to be chosen, in percent.
     pub domain_percent: u32,
 }
 
@@ -199,17 +199,17 @@
     }
 }
 
-/// Figures of hedging.
+/// Parameters of hedging.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Hedge {
     /// Whether it is on.
     pub on: bool,
-    /// Hedges for every hundred sub-requests at most.
+    /// Hedge budget: most hedges per hundred sub-requests.
     pub budget_percent: u32,
-    /// Share of a service's replies that come before a hedge is sent, in percent.
+    /// Quantile of a service's latency after which a hedge is sent, in percent.
     pub quantile_percent: u32,
-    /// Least wait before a hedge, in milliseconds.
+    /// Least delay before a hedge, in milliseconds.
     pub least_ms: u64,
 }
 
@@ -224,17 +224,17 @@
     }
 }
 
-/// Figures of retries.
+/// Parameters of retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Retry {
-    /// Whether a budget bounds them; without it each failure is tried again.
+    /// Whether a budget limits retries; if off, every failure is retried.
     pub on: bool,
-    /// Retries for every hundred sub-requests at most.
+    /// Retry budget: most retries per hundred sub-requests.
     pub budget_percent: u32,
-    /// Share of failures from which a service is held to refuse as a whole, in percent.
+    /// Share of failures from which a whole service counts as refusing, in percent.
     pub refusing_percent: u32,
-    /// Replicas of one shard that a query tries at most, hedges included.
+    /// Most replicas of one shard that a query tries, hedges included.
     pub tries: u32,
 }
 
@@ -249,7 +249,7 @@
     }
 }
 
-/// Figures of the quarantine of requests that end backend servers.
+/// Parameters of the quarantine of requests that make backend servers terminate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Quarantine {
@@ -263,11 +263,12 @@
     }
 }
 
-/// Figures of partial answers.
+/// Parameters of partial answers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Partial {
-    /// Time kept back from an allowance for the merge and the way to the caller, in milliseconds.
+    /// Time reserved from an allowance to merge the hits and send the answer to the caller, in
+    /// milliseconds.
     pub margin_ms: u64,
 }
 
@@ -277,19 +278,19 @@
     }
 }
 
-/// Figures of the view that an owner has of a backend server's health.
+/// Parameters of an owner's health checks of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Health {
     /// Whether it is on.
     pub on: bool,
-    /// Failures in a row after which a backend server gets nothing for a while.
+    /// Number of consecutive failures after which a backend server is paused.
     pub failures: u32,
-    /// Length of the first such pause, in milliseconds; each further one is twice as long.
+    /// Length of the first pause, in milliseconds; each further one is twice as long.
     pub pause_ms: u64,
-    /// Length of the longest pause, in milliseconds.
+    /// Upper limit of the length of a pause, in milliseconds.
     pub most_pause_ms: u64,
-    /// How long a backend server's own word that it is leaving is believed, in milliseconds.
+    /// How long a backend server's own report that it is leaving remains valid, in milliseconds.
     pub leaving_ms: u64,
 }
 
@@ -306,49 +307,49 @@
 }
 
 impl Policy {
-    /// All that makes the figures unfit to be in force.
+    /// Returns all parameters that are out of bounds.
     pub fn faults(&self) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut least = |field: &str, found: u64| {
+        let mut require_positive = |field: &str, found: u64| {
             if found == 0 {
                 faults.push(Fault::new(path(field), "0", "at least 1"));
             }
         };
-        least("admission.window_ms", self.admission.window_ms);
-        least("queue.long_factor", self.queue.long_factor.into());
-        least("slots.slow_replies", self.slots.slow_replies.into());
-        least("slots.quick_replies", self.slots.quick_replies.into());
-        least("warmup.successes", self.warmup.successes.into());
-        least("warmup.jump_replies", self.warmup.jump_replies.into());
-        least("retry.tries", self.retry.tries.into());
-        least("health.failures", self.health.failures.into());
-        let mut share = |field: &str, found: u32| {
+        require_positive("admission.window_ms", self.admission.window_ms);
+        require_positive("queue.long_factor", self.queue.long_factor.into());
+        require_positive("slots.slow_replies", self.slots.slow_replies.into());
+        require_positive("slots.quick_replies", self.slots.quick_replies.into());
+        require_positive("warmup.successes", self.warmup.successes.into());
+        require_positive("warmup.jump_replies", self.warmup.jump_replies.into());
+        require_positive("retry.tries", self.retry.tries.into());
+        require_positive("health.failures", self.health.failures.into());
+        let mut require_percentage = |field: &str, found: u32| {
             if found > 100 {
-                let right = "a whole number from 0 to 100";
-                faults.push(Fault::new(path(field), found.to_string(), right));
+                let expected = "a whole number from 0 to 100";
+                faults.push(Fault::new(path(field), found.to_string(), expected));
             }
         };
-        share("admission.refused_percent", self.admission.refused_percent);
-        share("admission.fall_percent", self.admission.fall_percent);
-        share("hedge.budget_percent", self.hedge.budget_percent);
-        share("hedge.quantile_percent", self.hedge.quantile_percent);
-        share("retry.budget_percent", self.retry.budget_percent);
-        share("retry.refusing_percent", self.retry.refusing_percent);
+        require_percentage("admission.refused_percent", self.admission.refused_percent);
+        require_percentage("admission.fall_percent", self.admission.fall_percent);
+        require_percentage("hedge.budget_percent", self.hedge.budget_percent);
+        require_percentage("hedge.quantile_percent", self.hedge.quantile_percent);
+        require_percentage("retry.budget_percent", self.retry.budget_percent);
+        require_percentage("retry.refusing_percent", self.retry.refusing_percent);
         faults
     }
 }
 
-/// A figure in milliseconds as a duration.
-pub fn millis(figure: u64) -> Duration {
-    Duration::from_millis(figure)
+/// Converts a parameter in milliseconds to a duration.
+pub fn millis(parameter: u64) -> Duration {
+    Duration::from_millis(parameter)
 }
 
 fn path(field: &str) -> impl Iterator<Item = &str> {
     ["policy"].into_iter().chain(field.split('.'))
 }
 
-/// The shape of the figures: that of their defaults, of which any part may be left out.
+/// The shape of a policy: that of its default, with every field optional.
 pub const SHAPE: Shape = Shape::Like(|| {
-    // The type holds nothing that JSON could not.
+    // Cannot fail: every value of the type can be written as JSON.
     serde_json::to_value(Policy::default()).unwrap_or_default()
 });
--- a/crates/lentillift-settings/src/review.rs
+++ b/crates/lentillift-settings/src/review.rs
@@ -1,4 +1,4 @@
-//! Bounds of fields, and what makes a published value unfit to be in force.
+//! Bounds of fields, and validation of published values.
 
 use crate::config::Config;
 use crate::fault::Fault;
@@ -9,67 +9,67 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// A revision. Zero is what a process holds that has read nothing yet.
-pub const REVISION: Shape = Shape::Whole(1, MOST_REVISION);
+/// A revision. Zero is excluded: it means that a process has not read any value yet.
+pub const REVISION: Shape = Shape::Whole(1, MAX_REVISION);
 
-/// Requests in flight at one backend server. Zero would stop it for good: a cold server that gets
-/// nothing never warms up.
-pub const SLOTS: Shape = Shape::Whole(1, MOST_SLOTS);
+/// Requests in flight at one backend server. Zero is excluded: a backend server in a cold start
+/// that receives no requests would never warm up.
+pub const SLOTS: Shape = Shape::Whole(1, MAX_SLOTS);
 
 /// Connections to one backend server.
-pub const CONNECTIONS: Shape = Shape::Whole(1, MOST_CONNECTIONS);
+pub const CONNECTIONS: Shape = Shape::Whole(1, MAX_CONNECTIONS);
 
 /// Time to open a connection, in milliseconds.
-pub const CONNECT: Shape = Shape::Whole(0, MOST_CONNECT);
+pub const CONNECT: Shape = Shape::Whole(0, MAX_CONNECT_MS);
 
-/// A time of at least a millisecond and at most ten minutes.
-pub const MILLISECONDS: Shape = Shape::Whole(1, MOST_MILLISECONDS);
+/// A time from one millisecond to ten minutes.
+pub const MILLISECONDS: Shape = Shape::Whole(1, MAX_DURATION_MS);
 
-/// A caller's share.
-pub const WEIGHT: Shape = Shape::Whole(1, MOST_WEIGHT);
+/// Relative share of a caller in the capacity.
+pub const WEIGHT: Shape = Shape::Whole(1, MAX_WEIGHT);
 
-/// Room for 650 changes a day over thousands of years; a number above it is a slip of the hand,
-/// and since revisions never fall, no later one could ever be put in force.
-const MOST_REVISION: u64 = 1_000_000_000;
+/// Allows 650 changes a day for thousands of years. A higher number is a typing error, and since
+/// revisions never decrease, no later revision could take effect after it.
+const MAX_REVISION: u64 = 1_000_000_000;
 
-const MOST_SLOTS: u64 = 10_000;
-const MOST_CONNECTIONS: u64 = 100_000;
-const MOST_CONNECT: u64 = 60_000;
-const MOST_MILLISECONDS: u64 = 600_000;
-const MOST_WEIGHT: u64 = 1000;
+const MAX_SLOTS: u64 = 10_000;
+const MAX_CONNECTIONS: u64 = 100_000;
+const MAX_CONNECT_MS: u64 = 60_000;
+const MAX_DURATION_MS: u64 = 600_000;
+const MAX_WEIGHT: u64 = 1000;
 
-/// Limits of one backend server that depend on each other.
+/// Limits of each backend server of a service that depend on each other.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Requests that run at a time.
+    /// Most requests that run at a time.
     pub slots: u32,
-    /// Requests that run at a time in a cold start.
+    /// Most requests that run at a time in a cold start.
     pub cold_slots: u32,
-    /// Connections.
+    /// Most connections that it accepts.
     pub connections: u32,
 }
 
 impl Limits {
-    /// Appends what is wrong between the limits of service `name`.
+    /// Appends every fault between the limits of the service `name`.
     pub fn check(&self, name: &str, faults: &mut Vec<Fault>) {
         if self.slots == 0 {
-            // Reported on its own; compared with it, all else would look wrong.
+            // Reported by another check; every comparison with it would be a further fault.
             return;
         }
         if self.cold_slots > self.slots {
             let path = ["services", name, "cold_slots"];
-            let right = format!("at most its slots, which are {}", self.slots);
-            faults.push(Fault::new(path, self.cold_slots.to_string(), right));
+            let expected = format!("at most slots, which is {}", self.slots);
+            faults.push(Fault::new(path, self.cold_slots.to_string(), expected));
         }
         if self.connections < self.slots {
             let path = ["services", name, "connections"];
-            let right = format!("at least its slots, which are {}", self.slots);
-            faults.push(Fault::new(path, self.connections.to_string(), right));
+            let expected = format!("at least slots, which is {}", self.slots);
+            faults.push(Fault::new(path, self.connections.to_string(), expected));
         }
     }
 }
 
-/// The names that would be right.
+/// Lists the names that a field may have, for the expected part of a fault.
 pub fn one_of<I, S>(names: I) -> String
 where
     I: IntoIterator<Item = S>,
@@ -83,22 +83,22 @@
     }
 }
 
-/// All that makes a configuration unfit to be in force.
+/// Returns all faults for which a process rejects a configuration.
 pub fn config(config: &Config) -> Vec<Fault> {
     let mut faults = Vec::new();
-    revision(config.revision, &mut faults);
-    domains(config, &mut faults);
-    regions(config, &mut faults);
+    check_revision(config.revision, &mut faults);
+    check_domains(config, &mut faults);
+    check_regions(config, &mut faults);
     for (name, class) in &config.classes {
         let path = ["classes", name, "queue_ms"];
-        bound(path, class.queue_ms, 0, MOST_MILLISECONDS, &mut faults);
+        check_bounds(path, class.queue_ms, 0, MAX_DURATION_MS, &mut faults);
     }
     for (name, caller) in &config.callers {
         let path = ["callers", name, "weight"];
-        bound(path, caller.weight.into(), 1, MOST_WEIGHT, &mut faults);
+        check_bounds(path, caller.weight.into(), 1, MAX_WEIGHT, &mut faults);
     }
-    services(config, &mut faults);
-    allowances(config, &mut faults);
+    check_services(config, &mut faults);
+    check_allowances(config, &mut faults);
     for (caller, class) in &config.policy.classes {
         if !config.classes.contains_key(class) {
             let path = ["policy", "classes", caller];
@@ -113,7 +113,7 @@
     faults
 }
 
-fn domains(config: &Config, faults: &mut Vec<Fault>) {
+fn check_domains(config: &Config, faults: &mut Vec<Fault>) {
     let path = ["domains_out"];
     for domain in config.domains_out.difference(&config.domains) {
         faults.push(Fault::new(path, quoted(domain), one_of(&config.domains)));
@@ -127,7 +127,7 @@
     }
 }
 
-fn regions(config: &Config, faults: &mut Vec<Fault>) {
+fn check_regions(config: &Config, faults: &mut Vec<Fault>) {
     for domain in config.regions.keys() {
         if !config.domains.contains(domain) {
             let found = "a region of an unknown failure domain";
@@ -140,29 +140,23 @@
     }
 }
 
-fn services(config: &Config, faults: &mut Vec<Fault>) {
+fn check_services(config: &Config, faults: &mut Vec<Fault>) {
     for (name, service) in &config.services {
         let path = |field| ["services", name, field];
         if !config.classes.contains_key(&service.class) {
-            let right = one_of(config.classes.keys());
-            faults.push(Fault::new(path("class"), quoted(&service.class), right));
+            let expected = one_of(config.classes.keys());
+            faults.push(Fault::new(path("class"), quoted(&service.class), expected));
         }
         let (slots, cold) = (service.slots.into(), service.cold_slots.into());
-        bound(path("slots"), slots, 1, MOST_SLOTS, faults);
-        bound(path("cold_slots"), cold, 1, MOST_SLOTS, faults);
+        check_bounds(path("slots"), slots, 1, MAX_SLOTS, faults);
+        check_bounds(path("cold_slots"), cold, 1, MAX_SLOTS, faults);
         let connections = service.connections.into();
-        bound(
-            path("connections"),
-            connections,
-            1,
-            MOST_CONNECTIONS,
-            faults,
-        );
-        bound(
+        check_bounds(path("connections"), connections, 1, MAX_CONNECTIONS, faults);
+        check_bounds(
             path("connect_ms"),
             service.connect_ms,
             0,
-            MOST_CONNECT,
+            MAX_CONNECT_MS,
             faults,
         );
         let limits = Limits {
@@ -174,19 +168,24 @@
     }
 }
 
-fn allowances(config: &Config, faults: &mut Vec<Fault>) {
+fn check_allowances(config: &Config, faults: &mut Vec<Fault>) {
     let (least, most) = (config.least_allowance_ms, config.most_allowance_ms);
-    bound(["least_allowance_ms"], least, 1, MOST_MILLISECONDS, faults);
-    bound(["most_allowance_ms"], most, 1, MOST_MILLISECONDS, faults);
+    check_bounds(["least_allowance_ms"], least, 1, MAX_DURATION_MS, faults);
+    check_bounds(["most_allowance_ms"], most, 1, MAX_DURATION_MS, faults);
     if least > most {
-        let right = format!("at most most_allowance_ms, which is {most}");
-        faults.push(Fault::new(["least_allowance_ms"], least.to_string(), right));
+        let expected = format!("at most most_allowance_ms, which is {most}");
+        faults.push(Fault::new(
+            ["least_allowance_ms"],
+            least.to_string(),
+            expected,
+        ));
     }
 }
 
-/// All that makes a placement unfit to be in force.
+/// Returns all faults for which a process rejects a placement.
 ///
-/// It is looked for in the undecoded value, since the type of a map refuses its first fault.
+/// Checks the JSON value before it is decoded, since the decoding of a shard map stops at the first
+/// fault.
 pub fn placement(placement: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut snapshots = BTreeSet::new();
@@ -209,6 +208,8 @@
     faults
 }
 
+/// Checks the parts of the shard map at index `map`: unique shards, and replicas that are listed in
+/// `servers`.
 fn check_parts(servers: &Value, map: &str, parts: &[Value], faults: &mut Vec<Fault>) {
     let mut shards = BTreeSet::new();
     for (at, part) in parts.iter().enumerate() {
@@ -226,36 +227,42 @@
             {
                 let number = number.to_string();
                 let path = ["maps", map, "parts", &at, "replicas", &number];
-                faults.push(Fault::new(path, quoted(name), "the name of one of servers"));
+                faults.push(Fault::new(
+                    path,
+                    quoted(name),
+                    "the name of an entry in servers",
+                ));
             }
         }
     }
 }
 
+/// The elements of a JSON array; none for any other value.
 fn array(value: &Value) -> &[Value] {
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// All that makes a list of hosts unfit to be in force.
+/// Returns all faults for which a process rejects a list of hosts.
 pub fn roster(roster: &Roster) -> Vec<Fault> {
     let mut faults = Vec::new();
-    revision(roster.revision, &mut faults);
+    check_revision(roster.revision, &mut faults);
     let mut addresses = BTreeMap::new();
     for (host, entry) in &roster.hosts {
         if let Some(other) = addresses.insert(entry.address, host) {
             let path = ["hosts", host, "address"];
-            let found = format!("{}, which is also that of {other}", entry.address);
-            faults.push(Fault::new(path, found, "an address of its own"));
+            let found = format!("{}, which is also the address of {other}", entry.address);
+            faults.push(Fault::new(path, found, "a unique address"));
         }
     }
     faults
 }
 
-fn revision(revision: u64, faults: &mut Vec<Fault>) {
-    bound(["revision"], revision, 1, MOST_REVISION, faults);
+fn check_revision(revision: u64, faults: &mut Vec<Fault>) {
+    check_bounds(["revision"], revision, 1, MAX_REVISION, faults);
 }
 
-fn bound<const N: usize>(
+/// Appends a fault if `found` is not in the range `least..=most`.
+fn check_bounds<const N: usize>(
     path: [&str; N],
     found: u64,
     least: u64,
@@ -263,7 +270,7 @@
     faults: &mut Vec<Fault>,
 ) {
     if !(least..=most).contains(&found) {
-        let right = format!("a whole number from {least} to {most}");
-        faults.push(Fault::new(path, found.to_string(), right));
+        let expected = format!("a whole number from {least} to {most}");
+        faults.push(Fault::new(path, found.to_string(), expected));
     }
 }
--- a/crates/lentillift-settings/src/revise.rs
+++ b/crates/lentillift-settings/src/revise.rs
@@ -1,4 +1,4 @@
-//! Revision of answers in place, with all comments and the layout kept.
+//! Edits the text of answers in place; comments and layout stay.
 
 use crate::answers::Answers;
 use crate::fault::Fault;
@@ -13,7 +13,7 @@
 use jsonc_parser::cst::CstObject;
 use jsonc_parser::cst::CstRootNode;
 
-/// What is taken out of service or brought back.
+/// What operators take out of service and bring back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
     /// A failure domain.
@@ -23,6 +23,7 @@
 }
 
 impl Unit {
+    /// Name of the list under `out_of_service`.
     fn list(self) -> &'static str {
         match self {
             Self::Domain => "domains",
@@ -31,7 +32,7 @@
     }
 }
 
-/// Which way it goes.
+/// Whether a unit is taken out of service or brought back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// Out of service.
@@ -40,22 +41,25 @@
     In,
 }
 
-/// Revised answers.
+/// Answers after an edit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Revised {
-    /// The text with its comments.
+    /// The edited text, comments included.
     pub text: String,
-    /// The answers in it.
+    /// The answers parsed from the edited text.
     pub answers: Answers,
-    /// Whether anything changed; what is out already stays out at the same revision.
+    /// Whether anything changed. If the unit was in the requested state already, the text and the
+    /// revision stay as they are.
     pub changed: bool,
 }
 
-/// Takes `unit` `name` out of service or brings it back, and raises the revision.
+/// Takes the unit `name` out of service or brings it back, and increases the revision by one.
+///
+/// `file` is the name of the text in reports.
 ///
 /// # Errors
 ///
-/// Reports all faults of the answers, before and after.
+/// Reports all faults of the answers, before or after the edit, and an unknown failure domain.
 pub fn update_out_of_service(
     file: &str,
     text: &str,
@@ -65,8 +69,11 @@
 ) -> Result<Revised> {
     let answers = Answers::parse(file, text)?;
     if unit == Unit::Domain && !answers.domains.contains_key(name) {
-        let right = review::one_of(answers.domains.keys());
-        return Err(report(file, Fault::new(["domains"], quoted(name), right)));
+        let expected = review::one_of(answers.domains.keys());
+        return Err(single_fault(
+            file,
+            Fault::new(["domains"], quoted(name), expected),
+        ));
     }
     let out = match unit {
         Unit::Domain => answers.out_of_service.domains.contains(name),
@@ -79,10 +86,10 @@
             changed: false,
         });
     }
-    let text = edit(text, unit, direction, name, answers.revision + 1);
+    let text = edit_text(text, unit, direction, name, answers.revision + 1);
     let text = text.ok_or_else(|| {
         let fault = Fault::new(["out_of_service"], "a text that can't be edited", "lists");
-        report(file, fault)
+        single_fault(file, fault)
     })?;
     let answers = Answers::parse(file, &text)?;
     Ok(Revised {
@@ -92,7 +99,14 @@
     })
 }
 
-fn edit(text: &str, unit: Unit, direction: Direction, name: &str, revision: u64) -> Option<String> {
+/// Edits the list and the revision; none if the text does not have the expected structure.
+fn edit_text(
+    text: &str,
+    unit: Unit,
+    direction: Direction,
+    name: &str,
+    revision: u64,
+) -> Option<String> {
     let root = CstRootNode::parse(text, &ParseOptions::default()).ok()?;
     let object: CstObject = root.object_value()?;
     let number = CstInputValue::Number(revision.to_string());
@@ -103,12 +117,12 @@
         Direction::Out => {
             list.append(CstInputValue::String(name.to_owned()));
         }
-        Direction::In => remove(&list, name),
+        Direction::In => remove_name(&list, name),
     }
     Some(root.to_string())
 }
 
-fn remove(list: &CstArray, name: &str) {
+fn remove_name(list: &CstArray, name: &str) {
     for element in list.elements() {
         let text = element.as_string_lit();
         let text = text.and_then(|text| text.decoded_value().ok());
@@ -118,7 +132,8 @@
     }
 }
 
-fn report(file: &str, fault: Fault) -> Report {
+/// A report of one fault, for line 1.
+fn single_fault(file: &str, fault: Fault) -> Report {
     Report {
         file: file.to_owned(),
         faults: vec![Line { line: 1, fault }],
--- a/crates/lentillift-settings/src/roster.rs
+++ b/crates/lentillift-settings/src/roster.rs
@@ -1,4 +1,4 @@
-//! The published list of hosts that run the system.
+//! The published list of the hosts that run the system.
 
 use crate::placement::SERVER;
 use crate::placement::State;
@@ -15,31 +15,31 @@
 /// A host as the platform publishes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where its process listens for the others.
+    /// Address that its process listens on for the system's other processes.
     pub address: SocketAddr,
-    /// The failure domain it is in.
+    /// Name of the failure domain that it is in.
     pub domain: id::Domain,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub state: State,
 }
 
-/// The published list of hosts; it lags behind reality.
+/// The published list of hosts. It may lag behind the actual state of the hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// The revision; it only rises.
+    /// Revision of the list; later publications have higher numbers.
     pub revision: id::Revision,
-    /// The region of each failure domain; those that are not named are in one region together.
+    /// Region of each failure domain. Those that are not listed form one region together.
     ///
-    /// Leases go by this and not by the configuration's, because all that decides who may send work
-    /// has to change under one revision.
+    /// Leases use these regions and not those of the configuration, because everything that
+    /// determines which host may send work has to change under a single revision.
     #[serde(default)]
     pub regions: BTreeMap<id::Domain, id::Region>,
-    /// The hosts.
+    /// Hosts by name.
     pub hosts: BTreeMap<id::Host, Entry>,
 }
 
 impl Roster {
-    /// All that makes the list unfit to be in force.
+    /// All faults for which a process rejects the list, each as a sentence.
     pub fn faults(&self) -> Vec<String> {
         let faults = review::roster(self).into_iter();
         faults.map(|fault| fault.to_string()).collect()
--- a/crates/lentillift-settings/src/shape.rs
+++ b/crates/lentillift-settings/src/shape.rs
@@ -1,7 +1,7 @@
-//! Shapes that values must have, and the check that reports all that differs.
+//! Schemas of JSON values, and the check that reports every difference from them.
 //!
-//! A derived decoder stops at its first error, so whoever made five mistakes would be sent back
-//! five times. A [`Shape`] is a constant that the check walks beside the parsed text instead.
+//! A derived decoder stops at its first error, so a text with five mistakes would need five attempts
+//! to correct. A [`Shape`] is a constant schema that is compared with the whole parsed text instead.
 
 use crate::fault::Fault;
 use jsonc_parser::ast::Object;
@@ -10,33 +10,34 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Longest name, in bytes.
-const NAME: usize = 128;
+/// Longest name, in bytes; [`NAME_RULE`] states the same number.
+const MAX_NAME_BYTES: usize = 128;
 
-/// What a value must look like.
+/// The schema of a value.
 #[derive(Debug, Clone, Copy)]
 pub enum Shape {
-    /// Anything; another check looks at it.
+    /// Any value; another check validates it.
     Any,
-    /// A name of a host, a service and so on.
+    /// A name of a host, a service and so on: 1 to 128 ASCII letters, digits and `-._:`, the first a
+    /// letter or digit.
     Name,
-    /// A text that is not empty.
+    /// A string that is not empty or blank.
     Text,
     /// An IP address with a port.
     Address,
     /// True or false.
     Flag,
-    /// A whole number within bounds.
+    /// A whole number from a least to a most value, both included.
     Whole(u64, u64),
-    /// One of a few words.
+    /// One of the given strings.
     Choice(&'static [&'static str]),
     /// A list of values of one shape.
     List(&'static Shape),
-    /// Values of one shape by name.
+    /// An object with names as keys and values of one shape.
     Map(&'static Shape),
-    /// Named fields.
+    /// An object with the given fields and no others.
     Record(&'static [Field]),
-    /// Any part of what an example has, with values of the same kinds.
+    /// An object with any of the fields of an example, each of the same type as there.
     Like(fn() -> Json),
 }
 
@@ -48,7 +49,7 @@
     required: bool,
 }
 
-/// A field that must be there.
+/// A field that must be present.
 pub const fn required(name: &'static str, shape: Shape) -> Field {
     Field {
         name,
@@ -67,7 +68,7 @@
 }
 
 impl Shape {
-    /// Appends all that makes `value` differ from the shape.
+    /// Appends every difference of `value` from the shape; `path` is the path of the value.
     pub fn check(&self, path: &mut Vec<String>, value: &Value<'_>, faults: &mut Vec<Fault>) {
         match (self, value) {
             (Self::Any, _) | (Self::Flag, Value::BooleanLit(_)) => {}
@@ -78,18 +79,20 @@
                     path.pop();
                 }
             }
-            (Self::Map(shape), Value::Object(object)) => map(shape, path, object, faults),
-            (Self::Record(fields), Value::Object(object)) => record(fields, path, object, faults),
-            (Self::Like(example), _) => like(&example(), path, value, faults),
+            (Self::Map(shape), Value::Object(object)) => check_map(shape, path, object, faults),
+            (Self::Record(fields), Value::Object(object)) => {
+                check_record(fields, path, object, faults)
+            }
+            (Self::Like(example), _) => check_like(&example(), path, value, faults),
             (Self::Whole(least, most), Value::NumberLit(number))
                 if is_within(number.value, *least, *most) => {}
-            (_, Value::StringLit(text)) if self.takes(&text.value) => {}
-            _ => faults.push(Fault::new(path.clone(), found(value), self.right())),
+            (_, Value::StringLit(text)) if self.matches_text(&text.value) => {}
+            _ => faults.push(Fault::new(path.clone(), describe(value), self.expected())),
         }
     }
 
-    /// Whether a text fits the shape.
-    fn takes(&self, text: &str) -> bool {
+    /// Whether a string matches the shape.
+    fn matches_text(&self, text: &str) -> bool {
         match self {
             Self::Name => is_name(text),
             Self::Text => !text.trim().is_empty(),
@@ -99,12 +102,12 @@
         }
     }
 
-    /// What would be right, in words.
-    fn right(&self) -> String {
+    /// Description of the shape, for the expected part of a fault.
+    fn expected(&self) -> String {
         match self {
             Self::Any => "any value".to_owned(),
             Self::Name => NAME_RULE.to_owned(),
-            Self::Text => "a text in quotes".to_owned(),
+            Self::Text => "a non-empty text in quotes".to_owned(),
             Self::Address => "an IP address with its port, like \"10.0.0.7:7070\"".to_owned(),
             Self::Flag => "true or false".to_owned(),
             Self::Whole(least, most) => format!("a whole number from {least} to {most}"),
@@ -118,9 +121,10 @@
 const NAME_RULE: &str =
     "a name of 1 to 128 letters, digits and - . _ : that starts with a letter or digit";
 
-/// Names stand in paths of requests, in keys of values and in labels of series.
+/// Restricts names to characters that are safe in request paths, keys of published values and
+/// labels of metrics.
 fn is_name(text: &str) -> bool {
-    text.len() <= NAME
+    text.len() <= MAX_NAME_BYTES
         && text.starts_with(|c: char| c.is_ascii_alphanumeric())
         && text
             .chars()
@@ -132,7 +136,7 @@
     number.is_ok_and(|number| (least..=most).contains(&number))
 }
 
-fn map(shape: &Shape, path: &mut Vec<String>, object: &Object<'_>, faults: &mut Vec<Fault>) {
+fn check_map(shape: &Shape, path: &mut Vec<String>, object: &Object<'_>, faults: &mut Vec<Fault>) {
     let mut seen = BTreeSet::new();
     for property in &object.properties {
         let name = property.name.as_str();
@@ -141,26 +145,31 @@
             faults.push(Fault::new(path.clone(), quoted(name), NAME_RULE));
         }
         if !seen.insert(name) {
-            faults.push(twice(path));
+            faults.push(duplicate_field(path));
         }
         shape.check(path, &property.value, faults);
         path.pop();
     }
 }
 
-fn record(fields: &[Field], path: &mut Vec<String>, object: &Object<'_>, faults: &mut Vec<Fault>) {
+fn check_record(
+    fields: &[Field],
+    path: &mut Vec<String>,
+    object: &Object<'_>,
+    faults: &mut Vec<Fault>,
+) {
     let mut seen = BTreeSet::new();
     for property in &object.properties {
         let name = property.name.as_str();
         path.push(name.to_owned());
         if !seen.insert(name) {
-            faults.push(twice(path));
+            faults.push(duplicate_field(path));
         }
         match fields.iter().find(|field| field.name == name) {
             Some(field) => field.shape.check(path, &property.value, faults),
             None => {
                 let names: Vec<&str> = fields.iter().map(|field| field.name).collect();
-                faults.push(unknown(path, &names));
+                faults.push(unknown_field(path, &names));
             }
         }
         path.pop();
@@ -168,24 +177,25 @@
     for field in fields {
         if field.required && !seen.contains(field.name) {
             path.push(field.name.to_owned());
-            faults.push(Fault::new(path.clone(), "nothing", field.shape.right()));
+            faults.push(Fault::new(path.clone(), "nothing", field.shape.expected()));
             path.pop();
         }
     }
 }
 
-/// Compares with an example; where the example holds no value, anything goes.
-fn like(example: &Json, path: &mut Vec<String>, value: &Value<'_>, faults: &mut Vec<Fault>) {
+/// Compares `value` with an example. Null, and the contents of empty objects and of lists in the
+/// example, match anything.
+fn check_like(example: &Json, path: &mut Vec<String>, value: &Value<'_>, faults: &mut Vec<Fault>) {
     let shape = match (example, value) {
         (Json::Object(fields), Value::Object(object)) if !fields.is_empty() => {
             for property in &object.properties {
                 let name = property.name.as_str();
                 path.push(name.to_owned());
                 match fields.get(name) {
-                    Some(field) => like(field, path, &property.value, faults),
+                    Some(field) => check_like(field, path, &property.value, faults),
                     None => {
                         let names: Vec<&str> = fields.keys().map(String::as_str).collect();
-                        faults.push(unknown(path, &names));
+                        faults.push(unknown_field(path, &names));
                     }
                 }
                 path.pop();
@@ -202,16 +212,17 @@
     shape.check(path, value, faults);
 }
 
-fn unknown(path: &[String], names: &[&str]) -> Fault {
-    let right = format!("one of the fields {}", names.join(", "));
-    Fault::new(path.to_vec(), "an unknown field", right)
+fn unknown_field(path: &[String], names: &[&str]) -> Fault {
+    let expected = format!("one of the fields {}", names.join(", "));
+    Fault::new(path.to_vec(), "an unknown field", expected)
 }
 
-fn twice(path: &[String]) -> Fault {
-    Fault::new(path.to_vec(), "the field twice", "each field once")
+fn duplicate_field(path: &[String]) -> Fault {
+    Fault::new(path.to_vec(), "a duplicate field", "each field once")
 }
 
-fn found(value: &Value<'_>) -> String {
+/// Description of a value, for the found part of a fault.
+fn describe(value: &Value<'_>) -> String {
     match value {
         Value::StringLit(text) => quoted(&text.value),
         Value::NumberLit(number) => number.value.to_owned(),
@@ -222,7 +233,7 @@
     }
 }
 
-/// A text as it is shown in a fault.
+/// A string as shown in a fault: in quotes, with escapes.
 pub fn quoted(text: &str) -> String {
     format!("{text:?}")
 }
--- a/crates/lentillift-settings/tests/answers.rs
+++ b/crates/lentillift-settings/tests/answers.rs
@@ -1,10 +1,10 @@
-//! Tables of wrong answers, and the faults that operators are to read.
+//! Invalid answers, and the faults that are reported for them.
 
 use lentillift_settings::answers::Answers;
 use lentillift_settings::answers::QUESTIONNAIRE;
 use lentillift_settings::generate;
 
-/// The questionnaire's own answers with parts of them replaced.
+/// The answers of the questionnaire with the first occurrence of each text replaced.
 fn replaced(changes: &[(&str, &str)]) -> String {
     let mut text = QUESTIONNAIRE.to_owned();
     for (old, new) in changes {
@@ -14,7 +14,7 @@
     text
 }
 
-/// All faults of a text, as they are shown.
+/// All faults of a text, one per line of the report.
 fn faults(text: &str) -> Vec<String> {
     match Answers::parse("a", text) {
         Ok(_) => Vec::new(),
@@ -22,19 +22,19 @@
     }
 }
 
-/// The number of the line where `part` stands first.
+/// Number of the line of the first occurrence of `part`.
 fn line(text: &str, part: &str) -> usize {
     let before = text.find(part).map(|at| &text[..at]);
     before
-        .expect("the part stands in the text")
+        .expect("the text contains the part")
         .matches('\n')
         .count()
         + 1
 }
 
-/// Each row names the text replaced, what replaces it, and the fault told for that line. What is
-/// missing is told for the line of the record that lacks it.
-macro_rules! wrong {
+/// Each row gives the text to replace, its replacement, and the fault reported for the line of the
+/// replacement. A missing field is reported for the line where the enclosing object starts.
+macro_rules! invalid_answers {
     ($($name:ident: [$($old:literal => $new:literal gives $fault:literal),+];)+) => {$(
         #[test]
         fn $name() {
@@ -49,7 +49,7 @@
     )+};
 }
 
-wrong! {
+invalid_answers! {
     revision_zero: [
         "\"revision\": 1" => "\"revision\": 0" gives "revision: found 0, expected a whole number from 1 to 1000000000"
     ];
@@ -57,7 +57,7 @@
         "\"copies\": 1" => "\"copys\": 1" gives "services.search.copys: found an unknown field, expected one of the fields copies, may_be_repeated, priority, backend_servers, slots, cold_slots, connections, connect_ms"
     ];
     missing_field: [
-        "\"organisation\": \"Example Trust\"," => "" gives "organisation: found nothing, expected a text in quotes"
+        "\"organisation\": \"Example Trust\"," => "" gives "organisation: found nothing, expected a non-empty text in quotes"
     ];
     wrong_type: [
         "\"share\": 4" => "\"share\": \"four\"" gives "callers.website.share: found \"four\", expected a whole number from 1 to 1000"
@@ -78,10 +78,10 @@
         "\"slots\": 2" => "\"slots\": 0" gives "services.search.slots: found 0, expected a whole number from 1 to 10000"
     ];
     cold_above_warm: [
-        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most its slots, which are 2"
+        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most slots, which is 2"
     ];
     few_connections: [
-        "\"connections\": 25" => "\"connections\": 1" gives "services.search.connections: found 1, expected at least its slots, which are 2"
+        "\"connections\": 25" => "\"connections\": 1" gives "services.search.connections: found 1, expected at least slots, which is 2"
     ];
     allowances_crossed: [
         "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, expected at most most_ms, which is 10000"
@@ -90,7 +90,7 @@
         "\"answer_within_ms\": 130" => "\"answer_within_ms\": 20000" gives "priorities.0.answer_within_ms: found 20000, expected at most allowance.most_ms, which is 10000"
     ];
     field_twice: [
-        "\"revision\": 1," => "\"revision\": 1, \"revision\": 2," gives "revision: found the field twice, expected each field once"
+        "\"revision\": 1," => "\"revision\": 1, \"revision\": 2," gives "revision: found a duplicate field, expected each field once"
     ];
     name_with_a_space: [
         "\"office\":" => "\"Office 1\":" gives "callers.Office 1: found \"Office 1\", expected a name of 1 to 128 letters, digits and - . _ : that starts with a letter or digit"
@@ -101,7 +101,7 @@
     all_at_once: [
         "\"revision\": 1" => "\"revision\": -1" gives "revision: found -1, expected a whole number from 1 to 1000000000",
         "\"priority\": \"urgent\"" => "\"priority\": \"urgnt\"" gives "services.search.priority: found \"urgnt\", expected one of \"urgent\", \"ordinary\"",
-        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most its slots, which are 2",
+        "\"cold_slots\": 1" => "\"cold_slots\": 3" gives "services.search.cold_slots: found 3, expected at most slots, which is 2",
         "\"least_ms\": 10," => "\"least_ms\": 20000," gives "allowance.least_ms: found 20000, expected at most most_ms, which is 10000"
     ];
     unknown_priority_of_a_caller: [
@@ -123,32 +123,32 @@
 }
 
 #[test]
-fn questionnaire_is_right_as_it_stands() {
-    let answers = Answers::parse("a", QUESTIONNAIRE).expect("right");
-    generate::generate(&answers).expect("fit");
+fn questionnaire_is_valid_as_shipped() {
+    let answers = Answers::parse("a", QUESTIONNAIRE).expect("valid answers");
+    generate::generate(&answers).expect("valid configuration");
 }
 
-/// A value of nothing but brackets reaches every process at the same moment. A parser that calls
-/// itself for each would overflow its stack, and callers would see the whole fleet vanish.
+/// A recursive parser overflows its stack on a text of opening brackets only. Published by mistake,
+/// such a value reaches all processes at the same time, and the whole fleet would crash.
 #[test]
-fn brackets_without_end_are_refused() {
+fn nesting_without_end_is_rejected() {
     let text = "[".repeat(1024 * 1024);
     let report = Answers::parse("a", &text).expect_err("too deep");
-    let right = "a:1: found more than 32 nested brackets, expected JSON with comments";
-    assert_eq!(report.to_string(), right);
+    let expected = "a:1: found more than 32 nested brackets, expected JSON with comments";
+    assert_eq!(report.to_string(), expected);
 }
 
-/// Two entries of the answers stand for a service of the same name. One would silently win, and
-/// half of the requests would run under limits that nobody wrote.
+/// Two entries of the answers generate a service of the same name. If one silently replaced the
+/// other, half of the requests would run under limits that were meant for another service.
 #[test]
-fn copies_of_one_name_are_refused() {
+fn duplicate_service_names_are_rejected() {
     let text = QUESTIONNAIRE.replace("\"copies\": 1", "\"copies\": 2");
     let text = text.replace("\"filing\"", "\"search-1\"");
-    let answers = Answers::parse("a", &text).expect("right");
-    let faults = generate::generate(&answers).expect_err("two of one name");
+    let answers = Answers::parse("a", &text).expect("valid answers");
+    let faults = generate::generate(&answers).expect_err("duplicate service name");
     assert!(
         faults[0]
             .to_string()
-            .contains("search-1 by copies of two entries")
+            .contains("search-1 generated by two entries")
     );
 }
--- a/crates/lentillift-settings/tests/examples.rs
+++ b/crates/lentillift-settings/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The examples lead to the configurations that are committed beside them.
+//! Configurations generated from the example answers match the committed ones, and edits of the
+//! answers keep everything else.
 
 use lentillift_settings::answers::Answers;
 use lentillift_settings::change;
@@ -13,8 +14,10 @@
 const KERALA: &str = include_str!("../../../examples/kerala.jsonc");
 
 fn generated(text: &str) -> Config {
-    let answers = Answers::parse("example", text).expect("right");
-    generate::generate(&answers).expect("fit").config
+    let answers = Answers::parse("example", text).expect("valid answers");
+    generate::generate(&answers)
+        .expect("valid configuration")
+        .config
 }
 
 macro_rules! golden {
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn sizes_are_those_of_the_brief() {
+fn examples_have_the_required_sizes() {
     let (nafisa, kerala) = (generated(NAFISA), generated(KERALA));
     let count = |config: &Config, kind| {
         let services = config.services.values();
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn out_and_in_keep_all_but_the_revision() {
+fn taking_out_and_bringing_back_changes_only_the_revision() {
     for (unit, name) in [(Unit::Domain, "d2"), (Unit::Host, "entry-3")] {
         let out =
             revise::update_out_of_service("a", NAFISA, unit, Direction::Out, name).expect("out");
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn comments_inside_the_list_stay() {
+fn comments_inside_the_list_are_kept() {
     let noted = "\"domains\": [\n      // Power works until Friday.\n      \"d1\"\n    ]";
     let text = NAFISA.replace("\"domains\": []", noted);
     let out =
@@ -83,10 +86,10 @@
     assert_eq!(domains, ["d1", "d2"]);
 }
 
-/// An operator takes out the last failure domain in service. Published, it would leave every
-/// query without a backend server.
+/// An operator takes the last failure domain out of service. A configuration published from such
+/// answers would leave every query without a backend server.
 #[test]
-fn last_domain_stays_in_service() {
+fn last_domain_cannot_be_taken_out() {
     let text = NAFISA.replace("\"domains\": []", "\"domains\": [\"d1\", \"d2\", \"d3\"]");
     let report = revise::update_out_of_service("a", &text, Unit::Domain, Direction::Out, "d4")
         .expect_err("last");
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn change_is_told_in_words() {
+fn changes_are_described_in_sentences() {
     let old = generated(NAFISA);
     let mut new = old.clone();
     new.revision = 2;
@@ -104,12 +107,12 @@
     assert_eq!(
         change::describe(&old, &new),
         [
-            "The failure domain d2 goes out: it gets no new work.",
+            "The failure domain d2 is taken out of service: it gets no new work.",
             "The service archive, slots: 3 becomes 4.",
             "The service submission-01, kind: action becomes search.",
             "CAUTION: requests to submission-01 may run more than once from now on.",
         ]
     );
     let stale = change::describe(&new, &old);
-    assert!(stale[0].starts_with("NOTHING comes in force"));
+    assert!(stale[0].starts_with("NOTHING takes effect"));
 }
--- a/crates/lentillift-settings/tests/fuzz.rs
+++ b/crates/lentillift-settings/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Whatever the platform publishes, a process refuses it with a clear error and lives on.
+//! Random and deeply nested published values are parsed or rejected with an error that names the
+//! key; they never crash the process.
 
 use lentillift_settings::config::Config;
 use lentillift_settings::jsonc;
@@ -7,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Text out of the pieces that JSON with comments is made of.
+/// Random sequences of fragments of JSON with comments.
 fn pieces() -> impl Strategy<Value = String> {
     let piece = prop_oneof![
         Just("{".to_owned()),
@@ -31,6 +32,7 @@
     prop::collection::vec(piece, 0..40).prop_map(|pieces| pieces.concat())
 }
 
+/// Parses `text` as each kind of published value and checks that errors name the key.
 fn parse_all(text: &str) {
     let errors = [
         jsonc::parse::<Config>("config", text).map(|_| ()).err(),
@@ -56,28 +58,29 @@
     })]
 
     #[test]
-    fn any_text_is_taken_or_refused(text in pieces()) {
+    fn any_text_is_parsed_or_rejected(text in pieces()) {
         parse_all(&text);
     }
 }
 
-/// A megabyte of brackets is published by mistake. Every process would overflow its stack, and
-/// again at each start.
+/// A megabyte of opening brackets, published by mistake, would overflow the stack of every process,
+/// and again at each restart.
 #[test]
-fn a_megabyte_of_brackets_is_refused() {
+fn a_megabyte_of_brackets_is_rejected() {
     for bracket in ["[", "{\"a\":", "[/* [ */"] {
         parse_all(&bracket.repeat(1024 * 1024 / bracket.len()));
     }
 }
 
-/// A map names a shard twice. Its documents would be counted twice and one of the two lists lost.
+/// A shard map lists a shard number twice. Its documents would be counted twice, and the hits of one
+/// of the two parts would be lost.
 #[test]
-fn a_shard_twice_is_refused() {
+fn a_duplicate_shard_is_rejected() {
     let part = r#"{"shard":3,"weight":1,"replicas":["b"]}"#;
     let text = format!(
         r#"{{"revision":1,"servers":{{}},"maps":[{{"snapshot":9,"parts":[{part},{part}]}}]}}"#
     );
-    let error = jsonc::parse::<Placement>("service/x", &text).expect_err("a shard twice");
+    let error = jsonc::parse::<Placement>("service/x", &text).expect_err("duplicate shard");
     assert!(
         error
             .to_string()
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -67,7 +67,7 @@
     let config = config.to_str().expect("UTF-8");
     let output = run(&["domain", "out", "d2", &file, "--output", config]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-    assert!(stderr(&output).contains("The failure domain d2 goes out"));
+    assert!(stderr(&output).contains("The failure domain d2 is taken out of service"));
     let text = std::fs::read_to_string(&file).expect("answers");
     assert!(text.contains("// A missing notice is the worst harm."));
     let config = std::fs::read_to_string(config).expect("configuration");
