--- a/crates/lentillift-core/src/coverage.rs
+++ b/crates/lentillift-core/src/coverage.rs
@@ -82,8 +82,8 @@
     /// requires every shard: a share that is rounded to 1, or a missing shard that reports no
     /// documents, is not enough.
     pub fn satisfies(&self, min_share: f64) -> bool {
-        let has_reply = self.answered > 0 || self.shards == 0;
-        has_reply && self.share() >= min_share && (min_share < 1.0 || self.is_full())
+        let covers = self.answered > 0 || self.shards == 0;
+        covers && self.share() >= min_share && (min_share < 1.0 || self.is_full())
     }
 
     /// Share of the snapshot's documents that the answer covers, from 0 to 1.
--- a/crates/lentillift-settings/src/answers.rs
+++ b/crates/lentillift-settings/src/answers.rs
@@ -27,7 +27,7 @@
 pub enum Aim {
     /// Prefer answers that cover all of the data.
     Coverage,
-    /// Prefer answers within the time objective.
+    /// Prefer answers that are never late.
     Latency,
 }
 
--- a/crates/lentillift-settings/src/generate.rs
+++ b/crates/lentillift-settings/src/generate.rs
@@ -65,9 +65,9 @@
 
 /// Divisor of the time objective that yields the longest time in a queue.
 ///
-/// If coverage matters most, a request may wait for half of its objective, since a late shard is
-/// better than a missing one; the other half is left to run the request and to try a second
-/// replica. If latency matters most, it may wait for a quarter: a longer queue means overload, and a
+/// If coverage matters most, a request may wait for half of its objective, since waiting for a shard
+/// is better than an answer without it; the other half is left to run the request and to try a
+/// second replica. If latency matters most, it may wait for a quarter: a longer queue means overload, and a
 /// caller that is refused early still has time to use another service.
 fn queue_divisor(aim: Aim) -> u64 {
     match aim {
--- a/crates/lentillift-settings/src/policy.rs
+++ b/crates/lentillift-settings/src/policy.rs
@@ -22,7 +22,7 @@
     pub admission: Admission,
     /// Which queued sub-request an owner sends to its backend server next.
     pub queue: Queue,
-    /// Whether identical concurrent queries share one execution.
+    /// Whether identical queries share one execution.
     pub coalescing: Coalescing,
     /// How many requests may be in flight at a warm backend server.
     pub slots: Slots,
@@ -278,7 +278,7 @@
     }
 }
 
-/// Parameters of an owner's health checks of a backend server.
+/// Parameters of an owner's health tracking of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Health {
