--- a/crates/lentillift-entry/src/core/result.rs
+++ b/crates/lentillift-entry/src/core/result.rs
@@ -250,7 +250,7 @@
         let answer = query.answer(member.search.limit);
         self.cache
             .insert(coalescing_key(query), member.search.limit, &answer);
-        let effect = if !answer.coverage.accepts(least_coverage) {
+        let effect = if !answer.coverage.satisfies(least_coverage) {
             let detail = format!(
                 "reached {}, asked for at least {least_coverage}",
                 answer.coverage
--- a/crates/lentillift-owner/src/queue.rs
+++ b/crates/lentillift-owner/src/queue.rs
@@ -1,7 +1,7 @@
 //! Sub-requests that wait for a slot of a backend server or are in flight to it.
 
 use lentillift_core::id;
-use lentillift_core::sub::Desk;
+use lentillift_core::sub::Component;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
 
@@ -22,7 +22,7 @@
     /// The host whose entry sent the sub-request.
     pub from: id::Host,
     /// The part of that host's process that waits for the result.
-    pub desk: Desk,
+    pub desk: Component,
     /// The sub-request's number there.
     pub id: id::Sub,
     /// The backend server it was sent to.
--- a/crates/lentillift-settings/src/fault.rs
+++ b/crates/lentillift-settings/src/fault.rs
@@ -1,22 +1,24 @@
-//! What is wrong with a value, where it stands, and what would be right.
+//! Faults of a text: the field, what was found there, and what was expected.
 
 use serde::Serialize;
 use std::fmt;
 
-/// Something wrong with one field.
+/// A fault of one field.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The field, from the outermost to the innermost name.
+    /// Names of the enclosing fields and of the field itself, outermost first; empty for the whole
+    /// text.
     pub path: Vec<String>,
-    /// What was found there.
+    /// What was found there, in words.
     pub found: String,
-    /// What would be right.
-    pub right: String,
+    /// What the check expects, in words.
+    #[serde(rename = "right")]
+    pub expected: String,
 }
 
 impl Fault {
-    /// Makes a fault of the field at `path`.
-    pub fn new<P, S>(path: P, found: impl Into<String>, right: impl Into<String>) -> Self
+    /// Creates a fault of the field at `path`.
+    pub fn new<P, S>(path: P, found: impl Into<String>, expected: impl Into<String>) -> Self
     where
         P: IntoIterator<Item = S>,
         S: Into<String>,
@@ -24,7 +26,7 @@
         Self {
             path: path.into_iter().map(Into::into).collect(),
             found: found.into(),
-            right: right.into(),
+            expected: expected.into(),
         }
     }
 }
@@ -34,26 +36,26 @@
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path.join("."))?;
         }
-        write!(f, "found {}, right is {}", self.found, self.right)
+        write!(f, "found {}, expected {}", self.found, self.expected)
     }
 }
 
-/// A fault and its line.
+/// A fault and the line where it was found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Line {
-    /// The line's number; the first is 1.
+    /// Number of the line; the first is 1.
     pub line: usize,
-    /// The fault.
+    /// The fault found there.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// All faults of one text, in the order of their lines.
+/// All faults of one text, sorted by line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// The file, key or other name of the text.
+    /// Name of the file, key of the published value, or other name of the text.
     pub file: String,
-    /// The faults.
+    /// The faults, by line.
     // INVARIANT: Never empty.
     pub faults: Vec<Line>,
 }
--- a/crates/lentillift/src/command/diff.rs
+++ b/crates/lentillift/src/command/diff.rs
@@ -62,11 +62,11 @@
 fn load(file: &str) -> anyhow::Result<Config> {
     let text = read(file)?;
     let document = Document::parse(file, &text)?;
-    if Kind::of(&document) == Kind::Answers {
+    if Kind::detect(&document) == Kind::Answers {
         let answers = Answers::parse(file, &text)?;
         return Ok(configure::generated(file, &answers)?.config);
     }
     let config: Config = document.decode(&config::SHAPE)?;
-    document.verdict(review::config(&config))?;
+    document.ensure_no_faults(review::config(&config))?;
     Ok(config)
 }
--- a/crates/lentillift/src/command/service.rs
+++ b/crates/lentillift/src/command/service.rs
@@ -14,9 +14,9 @@
 use lentillift_settings::answers::Answers;
 use lentillift_settings::change;
 use lentillift_settings::revise;
+use lentillift_settings::revise::Direction;
 use lentillift_settings::revise::Revised;
 use lentillift_settings::revise::Unit;
-use lentillift_settings::revise::Way;
 
 /// The command for failure domains.
 pub(crate) const DOMAIN: Command = Command {
@@ -65,13 +65,13 @@
 fn run(matches: &Matches, unit: Unit) -> anyhow::Result<Exit> {
     let [way, name, file] = arguments(matches, ["out|in", "NAME", "ANSWERS"])?;
     let way = match way.as_str() {
-        "out" => Way::Out,
-        "in" => Way::In,
+        "out" => Direction::Out,
+        "in" => Direction::In,
         other => return Err(Usage(format!("found {other}, right is out or in")).into()),
     };
     let text = read(&file)?;
     let before = configure::generated(&file, &Answers::parse(&file, &text)?)?.config;
-    let revised = revise::service(&file, &text, unit, way, &name)?;
+    let revised = revise::update_out_of_service(&file, &text, unit, way, &name)?;
     let after = configure::generated(&file, &revised.answers)?.config;
     let changes = change::describe(&before, &after);
     if matches.opt_present("dry-run") {
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -56,7 +56,7 @@
     help_shows_exit_codes: ["check", "-h"] with 0, saying "Exit codes:";
     both_examples_are_right: ["check", NAFISA, KERALA] with 0, saying "right (answers)";
     questionnaire_goes_to_stdout: ["init"] with 0, saying "\"matters_most\"";
-    unknown_domain: ["domain", "out", "d9", NAFISA] with 1, saying "found \"d9\", right is one of \"d1\"";
+    unknown_domain: ["domain", "out", "d9", NAFISA] with 1, saying "found \"d9\", expected one of \"d1\"";
     decisions_are_told: ["configure", NAFISA] with 0, saying "because coverage matters most";
 }
 
@@ -67,7 +67,7 @@
     let config = config.to_str().expect("UTF-8");
     let output = run(&["domain", "out", "d2", &file, "--output", config]);
     assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
-    assert!(stderr(&output).contains("The failure domain d2 goes out"));
+    assert!(stderr(&output).contains("The failure domain d2 is taken out of service"));
     let text = std::fs::read_to_string(&file).expect("answers");
     assert!(text.contains("// A missing notice is the worst harm."));
     let config = std::fs::read_to_string(config).expect("configuration");
--- a/crates/lentilliftd/src/main.rs
+++ b/crates/lentilliftd/src/main.rs
@@ -6,10 +6,10 @@
 use getopts::Matches;
 use getopts::Options;
 use lentillift_settings::daemon;
-use lentillift_settings::daemon::ITEMS;
-use lentillift_settings::daemon::Log;
+use lentillift_settings::daemon::LogFormat;
+use lentillift_settings::daemon::SETTINGS;
 use lentillift_settings::daemon::Settings;
-use lentillift_settings::daemon::Start;
+use lentillift_settings::daemon::StartOptions;
 use lentilliftd::daemon::Daemon;
 use lentilliftd::daemon::Sockets;
 use serde_json::Map;
@@ -93,7 +93,7 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optopt("s", "settings", "settings file, JSON with comments", "FILE");
-    for item in ITEMS {
+    for item in SETTINGS {
         options.optopt("", &daemon::flag(item.name), item.help, "VALUE");
     }
     options.optflag("", "check", "check the settings and exit");
@@ -110,14 +110,14 @@
     ExitCode::from(MISUSED)
 }
 
-fn start(matches: &Matches) -> anyhow::Result<Start> {
+fn start(matches: &Matches) -> anyhow::Result<StartOptions> {
     anyhow::ensure!(
         matches.free.is_empty(),
         "found {:?}, right are flags only",
         matches.free
     );
     let mut flags = Map::new();
-    for item in ITEMS {
+    for item in SETTINGS {
         if let Some(value) = matches.opt_str(&daemon::flag(item.name)) {
             flags.insert(item.name.to_owned(), item.value(&value));
         }
@@ -132,15 +132,15 @@
 }
 
 /// Writes log lines to standard error; `RUST_LOG` may ask for more or less.
-fn log(log: Log) {
+fn log(log: LogFormat) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
     match log {
-        Log::Human => builder.init(),
-        Log::Json => builder.json().init(),
+        LogFormat::Human => builder.init(),
+        LogFormat::Json => builder.json().init(),
     }
 }
 
