--- a/crates/lentilliftd/src/daemon.rs
+++ b/crates/lentilliftd/src/daemon.rs
@@ -1,12 +1,12 @@
-//! Putting the tasks of one process together.
+//! Creates the tasks of one process, connects them, and stops them in order.
 
 use crate::entry;
 use crate::fleet;
 use crate::once;
 use crate::owner;
 use crate::peers;
-use crate::peers::Desks;
 use crate::peers::Peers;
+use crate::peers::Router;
 use crate::report;
 use crate::tenure;
 use crate::trace;
@@ -44,51 +44,52 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Messages that wait for a task at most; a full queue makes the sender wait.
-const QUEUE: usize = 8192;
+/// Capacity of each task's input channel, in messages; a sender waits while the channel is full.
+const CHANNEL_CAPACITY: usize = 8192;
 
-/// Ports that are tried at most when the system chooses.
-const MOST_TRIES: u32 = 16;
+/// Attempts to find a port that is free for both TCP and UDP when the system chooses the port.
+const MAX_BIND_ATTEMPTS: u32 = 16;
 
-/// Time between failing readiness and taking no more callers.
+/// Time between failing the readiness check and closing the caller listener.
 ///
-/// Two looks of a balancer that looks twice a second.
-const NOTICE: Duration = Duration::from_secs(1);
+/// Long enough for two checks by a load balancer that polls twice a second.
+const READINESS_NOTICE: Duration = Duration::from_secs(1);
 
 /// Longest wait until all backend servers are handed over.
 ///
-/// A hand-over takes at most a second: half for requests under way, half for the successor. What
-/// is not taken over by then falls to the next guardian when the leases are over.
-const HAND_OVER: Duration = Duration::from_secs(2);
+/// A handover takes at most one second: half for requests in flight, half for the successor. A
+/// backend server that is not taken over by then goes to the next guardian (a host that grants
+/// leases on it) once the lease expires.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for callers under way; more than the largest allowance that is usual.
-const CALLERS: Duration = Duration::from_secs(15);
+/// Longest wait for caller requests in flight; longer than the largest usual request allowance.
+const CALLER_DRAIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Time for requests that were passed here from elsewhere, before their ids are handed over.
-const IDS: Duration = Duration::from_secs(2);
+/// Time for requests forwarded by other hosts to finish before their request ids are handed over.
+const FORWARDED_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The listening sockets of a process.
 #[derive(Debug)]
 pub struct Sockets {
-    /// For callers.
+    /// Accepts callers' HTTP connections.
     pub caller: TcpListener,
-    /// For the system's other processes.
+    /// Accepts links from other processes of the fleet.
     pub node: TcpListener,
-    /// For datagrams of the system's other processes.
+    /// Carries membership datagrams to and from other processes of the fleet.
     // INVARIANT: Bound to the address and port of `node`.
     pub datagram: UdpSocket,
-    /// For operators.
+    /// Accepts operators' HTTP connections.
     pub operator: TcpListener,
 }
 
 impl Sockets {
-    /// Opens the sockets that `settings` name; a port of 0 leaves the choice to the system.
+    /// Binds the addresses in `settings`; port 0 lets the operating system choose.
     ///
     /// # Errors
     ///
-    /// Names the address that can't be listened on.
+    /// When an address cannot be bound, or the node address is unspecified (`0.0.0.0` or `::`).
     pub async fn open(settings: &Settings) -> Result<Self> {
-        let (node, datagram) = open_node(settings.node_address).await?;
+        let (node, datagram) = bind_node_sockets(settings.node_address).await?;
         Ok(Self {
             caller: listen(settings.caller_address).await?,
             node,
@@ -98,28 +99,28 @@
     }
 }
 
-/// Opens a listener and a datagram socket at one port.
-async fn open_node(address: SocketAddr) -> Result<(TcpListener, UdpSocket)> {
-    // The others are told this address. Nobody could reach `0.0.0.0`, and the process would stay
-    // cut off while everything else about it looks well.
+/// Binds a TCP listener and a UDP socket to the same port.
+async fn bind_node_sockets(address: SocketAddr) -> Result<(TcpListener, UdpSocket)> {
+    // This address is announced to the other hosts. `0.0.0.0` is not reachable from them: the
+    // process would be isolated although it appears healthy otherwise.
     if address.ip().is_unspecified() {
-        let cause = "found no particular address, one by which the others reach this host is right";
+        let cause = "unspecified address, expected one at which other hosts can reach this host";
         return Err(Error::new(
             Step::Check,
             format!("node_address {address}"),
             cause,
         ));
     }
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let listener = listen(address).await?;
         let local = listener.local_addr();
         let local = local.map_err(|e| Error::new(Step::Listen, address, e))?;
         match UdpSocket::bind(local).await {
             Ok(socket) => return Ok((listener, socket)),
-            // The port that the system chose is free for TCP and not for UDP; another may do.
-            Err(_) if address.port() == 0 && tries < MOST_TRIES => {}
+            // The chosen port is free for TCP but not for UDP: try another one.
+            Err(_) if address.port() == 0 && attempts < MAX_BIND_ATTEMPTS => {}
             Err(e) => return Err(Error::new(Step::Listen, local, e)),
         }
     }
@@ -130,17 +131,17 @@
     listener.map_err(|e| Error::new(Step::Listen, address, e))
 }
 
-/// A running process's tasks.
+/// Handles to the tasks of a running process.
 #[derive(Debug)]
 pub struct Daemon {
     stop: watch::Sender<bool>,
-    callers: JoinHandle<()>,
-    fleet: mpsc::Sender<fleet::Mail>,
-    owner: mpsc::Sender<owner::Mail>,
-    once: mpsc::Sender<once::Mail>,
-    /// What the process tells its operators.
+    caller_server: JoinHandle<()>,
+    fleet: mpsc::Sender<fleet::Input>,
+    owner: mpsc::Sender<owner::Input>,
+    once: mpsc::Sender<once::Input>,
+    /// Metrics, status and time line that the process publishes to operators.
     pub board: Board,
-    /// What the process holds to be true of the fleet.
+    /// The process's current view of the fleet: hosts, backend servers and configuration.
     pub view: watch::Receiver<Arc<View>>,
 }
 
@@ -150,7 +151,7 @@
         Self::start_traced(settings, sockets, incarnation, None)
     }
 
-    /// Starts all tasks of a process and writes traces of its decisions into a directory.
+    /// Starts all tasks of a process; with `traces`, records their decisions in that directory.
     pub fn start_traced(
         settings: &Settings,
         sockets: Sockets,
@@ -160,56 +161,67 @@
         let clock = Clock::start();
         let board = Board::new(settings.host.clone(), incarnation, clock);
         let (stop, stopped) = watch::channel(false);
-        let (view, seen) = watch::channel(Arc::<View>::default());
-        let me = Peer {
+        let (view, view_receiver) = watch::channel(Arc::<View>::default());
+        let local_peer = Peer {
             host: settings.host.clone(),
             incarnation,
         };
-        let own = member(settings, &sockets, incarnation);
+        let own = initial_member(settings, &sockets, incarnation);
 
-        let (local, inbound) = mpsc::channel(QUEUE);
-        let hub = hub::spawn(me.clone(), sockets.node, local.clone());
-        let peers = Peers::new(me.clone(), seen.clone(), hub, local);
+        let (loopback, inbound) = mpsc::channel(CHANNEL_CAPACITY);
+        let hub = hub::spawn(local_peer.clone(), sockets.node, loopback.clone());
+        let peers = Peers::new(local_peer.clone(), view_receiver.clone(), hub, loopback);
 
-        let (entry_mail, for_entry) = mpsc::channel(QUEUE);
-        let (once_mail, for_once) = mpsc::channel(QUEUE);
-        let (owner_mail, for_owner) = mpsc::channel(QUEUE);
-        let (fleet_mail, for_fleet) = mpsc::channel(QUEUE);
-        let desks = Desks {
-            entry: entry_mail.clone(),
-            once: once_mail.clone(),
-            owner: owner_mail.clone(),
-            fleet: fleet_mail.clone(),
+        let (entry_sender, entry_receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        let (once_sender, once_receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        let (owner_sender, owner_receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        let (fleet_sender, fleet_receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        let router = Router {
+            entry: entry_sender.clone(),
+            once: once_sender.clone(),
+            owner: owner_sender.clone(),
+            fleet: fleet_sender.clone(),
         };
-        tokio::spawn(peers::sort(inbound, desks));
+        tokio::spawn(peers::route(inbound, router));
 
         let entry = trace::start(settings, incarnation, incarnation, traces);
         let entry = entry::Task::new(entry, clock, peers.clone(), board.clone());
-        tokio::spawn(entry.run(for_entry, seen.clone()));
+        tokio::spawn(entry.run(entry_receiver, view_receiver.clone()));
 
-        // Not seeded by the incarnation, which stands in each id: the ids' secrets would be known.
+        // Not seeded by the incarnation: each request id contains it, so the secrets in the ids
+        // would be predictable.
         let once = trace::start(settings, incarnation, rand::random(), traces);
         let once = once::Task::new(once, clock, peers.clone(), board.clone());
-        tokio::spawn(once.run(for_once, seen.clone()));
+        tokio::spawn(once.run(once_receiver, view_receiver.clone()));
 
-        let leave = owner_mail.clone();
-        let owner = owner::Task::new(me, clock, peers.clone(), board.clone(), owner_mail);
-        tokio::spawn(owner.run(for_owner, seen.clone()));
+        let owner_control = owner_sender.clone();
+        let owner = owner::Task::new(
+            local_peer,
+            clock,
+            peers.clone(),
+            board.clone(),
+            owner_sender,
+        );
+        tokio::spawn(owner.run(owner_receiver, view_receiver.clone()));
 
         let domain = settings.domain.clone();
-        tokio::spawn(report::views(board.clone(), domain, view.subscribe()));
+        tokio::spawn(report::publish_views(
+            board.clone(),
+            domain,
+            view.subscribe(),
+        ));
 
-        let around = fleet::Around {
+        let context = fleet::Context {
             peers,
             board: board.clone(),
             clock,
             view,
-            mail: fleet_mail.clone(),
+            inputs: fleet_sender.clone(),
         };
-        let part = fleet_part(settings, clock, own, incarnation);
+        let membership = new_membership(settings, clock, own, incarnation);
         let platform = Client::new(settings.platform_address);
-        let fleet = fleet::Task::new(part, sockets.datagram, platform, around);
-        tokio::spawn(fleet.run(for_fleet));
+        let fleet = fleet::Task::new(membership, sockets.datagram, platform, context);
+        tokio::spawn(fleet.run(fleet_receiver));
 
         let options = listener::Options::default();
         let operators = lentillift_operator::server::serve(
@@ -220,51 +232,61 @@
         );
         tokio::spawn(operators);
 
-        let (calls, for_desks) = mpsc::channel(QUEUE);
-        tokio::spawn(pass_calls(for_desks, entry_mail, once_mail.clone()));
-        let first = rng(incarnation).random::<id::Request>() >> 1;
-        let callers =
-            lentillift_caller::server::serve(sockets.caller, options, stopped, calls, first);
+        let (calls, call_receiver) = mpsc::channel(CHANNEL_CAPACITY);
+        tokio::spawn(route_calls(
+            call_receiver,
+            entry_sender,
+            once_sender.clone(),
+        ));
+        let first_request = rng(incarnation).random::<id::Request>() >> 1;
+        let callers = lentillift_caller::server::serve(
+            sockets.caller,
+            options,
+            stopped,
+            calls,
+            first_request,
+        );
         Self {
             stop,
-            callers: tokio::spawn(callers),
-            fleet: fleet_mail,
-            owner: leave,
-            once: once_mail,
+            caller_server: tokio::spawn(callers),
+            fleet: fleet_sender,
+            owner: owner_control,
+            once: once_sender,
             board,
-            view: seen,
+            view: view_receiver,
         }
     }
 
-    /// Ends without cutting any request.
+    /// Shuts down without interrupting any request.
     ///
-    /// First readiness fails and the others are told, so that nothing new is sent here; then the
-    /// backend servers are handed over; then the callers under way get their answers. An end in any
-    /// other order shows as refused or cut requests at each restart.
+    /// First the readiness check fails and the other hosts are notified, so that no new requests
+    /// arrive; then the backend servers are handed over; then callers with requests in flight get
+    /// their answers. Any other order causes refused or interrupted requests at each restart.
     pub async fn stop(self) {
-        let _ = self.fleet.send(fleet::Mail::Leave).await;
-        let (done, handed) = oneshot::channel();
-        let leave = owner::Mail::Lease(tenure::Mail::Leave(done));
+        let _ = self.fleet.send(fleet::Input::Leave).await;
+        let (done, owner_drained) = oneshot::channel();
+        let leave = owner::Input::Lease(tenure::Input::Leave(done));
         let _ = self.owner.send(leave).await;
-        // The balancer needs a look at the readiness route before connections are closed.
-        let notice = tokio::time::sleep(NOTICE);
-        let handed = tokio::time::timeout(HAND_OVER, handed);
-        let _ = tokio::join!(notice, handed);
+        // The load balancer must see the failing readiness check before connections are closed.
+        let notice = tokio::time::sleep(READINESS_NOTICE);
+        let owner_drained = tokio::time::timeout(HANDOVER_TIMEOUT, owner_drained);
+        let _ = tokio::join!(notice, owner_drained);
         self.stop.send_replace(true);
-        let _ = tokio::time::timeout(CALLERS, self.callers).await;
-        // After the callers, who would else be told to take a new id.
-        let (left, handed) = oneshot::channel();
-        let within = IDS;
-        let _ = self.once.send(once::Mail::Leave { within, left }).await;
-        let _ = tokio::time::timeout(IDS + HAND_OVER, handed).await;
-        let (told, heard) = oneshot::channel();
-        let _ = self.fleet.send(fleet::Mail::End(told)).await;
-        let _ = tokio::time::timeout(HAND_OVER, heard).await;
+        let _ = tokio::time::timeout(CALLER_DRAIN_TIMEOUT, self.caller_server).await;
+        // Only after the callers are served: earlier, they would be refused and have to request a
+        // new id.
+        let (done, ids_drained) = oneshot::channel();
+        let within = FORWARDED_DRAIN_TIMEOUT;
+        let _ = self.once.send(once::Input::Leave { within, done }).await;
+        let _ = tokio::time::timeout(FORWARDED_DRAIN_TIMEOUT + HANDOVER_TIMEOUT, ids_drained).await;
+        let (done, announced) = oneshot::channel();
+        let _ = self.fleet.send(fleet::Input::End(done)).await;
+        let _ = tokio::time::timeout(HANDOVER_TIMEOUT, announced).await;
     }
 }
 
-/// This process's part in membership and in the spread of values.
-fn fleet_part(
+/// Creates the state machine for membership and for distributing published values.
+fn new_membership(
     settings: &Settings,
     clock: Clock,
     own: Member,
@@ -279,8 +301,8 @@
     Fleet::new(options, clock.now(), own, rng(incarnation + 2))
 }
 
-/// What this process first says of itself.
-fn member(settings: &Settings, sockets: &Sockets, incarnation: id::Incarnation) -> Member {
+/// The membership record that this process announces at its start.
+fn initial_member(settings: &Settings, sockets: &Sockets, incarnation: id::Incarnation) -> Member {
     let address = sockets.node.local_addr();
     Member {
         host: settings.host.clone(),
@@ -293,19 +315,19 @@
     }
 }
 
-/// Passes each call to the task that serves it.
-async fn pass_calls(
+/// Routes each call to the task that serves it.
+async fn route_calls(
     mut calls: mpsc::Receiver<Call>,
-    entry: mpsc::Sender<entry::Mail>,
-    once: mpsc::Sender<once::Mail>,
+    entry: mpsc::Sender<entry::Input>,
+    once: mpsc::Sender<once::Input>,
 ) {
     while let Some(call) = calls.recv().await {
         match call {
             Call::Query { .. } | Call::Gone { .. } => {
-                let _ = entry.send(entry::Mail::Call(call)).await;
+                let _ = entry.send(entry::Input::Call(call)).await;
             }
             Call::Issue { .. } | Call::Action { .. } => {
-                let _ = once.send(once::Mail::Call(call)).await;
+                let _ = once.send(once::Input::Call(call)).await;
             }
         }
     }
--- a/crates/lentilliftd/src/entry.rs
+++ b/crates/lentilliftd/src/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::Peers;
 use crate::report;
-use crate::report::Series;
+use crate::report::QueryLabels;
 use lentillift_caller::call::Call;
 use lentillift_core::id;
 use lentillift_core::refusal::Refusal;
@@ -25,37 +25,37 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// What other tasks tell this one.
+/// Inputs from other tasks.
 #[derive(Debug)]
-pub enum Mail {
-    /// A caller's call about a query.
+pub enum Input {
+    /// A caller sent or abandoned a query.
     Call(Call),
-    /// An owner answered a sub-request.
+    /// The result of a sub-request arrived from an owner.
     Result {
-        /// The sub-request's number.
+        /// The sub-request's id.
         id: id::Sub,
-        /// The result.
+        /// The hits, or the failure.
         result: sub::Result,
-        /// The backend server's load, if its owner told it.
+        /// The backend server's load, if its owner reported it.
         load: Option<Load>,
     },
-    /// The link to a host ended.
+    /// The link to a host closed.
     Down(id::Host),
 }
 
-/// A caller that waits.
+/// A query whose caller waits for the answer.
 #[derive(Debug)]
-struct Waiting {
+struct PendingQuery {
     reply: oneshot::Sender<Result<Answer, Refusal>>,
-    series: Series,
-    since: Duration,
+    labels: QueryLabels,
+    received_at: Duration,
 }
 
 /// The task that serves queries.
 #[derive(Debug)]
 pub struct Task {
     entry: Traced<Entry<StdRng>>,
-    waiting: HashMap<id::Request, Waiting>,
+    pending: HashMap<id::Request, PendingQuery>,
     clock: Clock,
     peers: Peers,
     board: Board,
@@ -63,11 +63,11 @@
 }
 
 impl Task {
-    /// Makes the task; nothing is served yet.
+    /// Creates the task; [`Task::run`] starts serving.
     pub fn new(entry: Traced<Entry<StdRng>>, clock: Clock, peers: Peers, board: Board) -> Self {
         Self {
             entry,
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             clock,
             peers,
             board,
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Serves until all senders are gone.
+    /// Serves queries until the input channel or the view channel is closed.
     pub async fn run(
         mut self,
-        mut mail: mpsc::Receiver<Mail>,
+        mut inputs: mpsc::Receiver<Input>,
         mut view: watch::Receiver<Arc<View>>,
     ) {
-        let mut reports = report::times();
+        let mut reports = report::interval();
         loop {
             let wake = self.entry.next_wake();
             let event = tokio::select! {
                 _ = reports.tick() => {
-                    report::entry(&self.board, self.waiting.len());
+                    report::publish_entry_status(&self.board, self.pending.len());
                     None
                 }
-                received = mail.recv() => match received {
-                    Some(received) => self.open(received),
+                received = inputs.recv() => match received {
+                    Some(received) => self.event_for(received),
                     None => return,
                 },
                 changed = view.changed() => match changed {
@@ -100,42 +100,42 @@
                     }
                     Err(_) => return,
                 },
-                () = until(self.clock, wake) => Some(Event::Tick),
+                () = sleep_until(self.clock, wake) => Some(Event::Tick),
             };
             if let Some(event) = event {
                 let effects = self.entry.handle(self.clock.now(), event);
                 self.carry_out(effects).await;
-                self.board_counts();
+                self.flush_counters();
             }
         }
     }
 
-    fn open(&mut self, mail: Mail) -> Option<Event> {
-        match mail {
-            Mail::Call(Call::Query {
+    fn event_for(&mut self, input: Input) -> Option<Event> {
+        match input {
+            Input::Call(Call::Query {
                 request,
                 ask,
                 reply,
             }) => {
-                let waiting = Waiting {
+                let pending = PendingQuery {
                     reply,
-                    series: Series::of(&self.view, &ask),
-                    since: self.clock.now(),
+                    labels: QueryLabels::of(&self.view, &ask),
+                    received_at: self.clock.now(),
                 };
-                self.waiting.insert(request, waiting);
+                self.pending.insert(request, pending);
                 Some(Event::Ask { request, ask })
             }
-            Mail::Call(Call::Gone { request }) => {
-                self.waiting.remove(&request);
+            Input::Call(Call::Gone { request }) => {
+                self.pending.remove(&request);
                 Some(Event::Gone { request })
             }
-            Mail::Call(Call::Issue { .. } | Call::Action { .. }) => None,
-            Mail::Result { id, result, load } => Some(Event::Reply { id, result, load }),
-            Mail::Down(host) => Some(Event::Down { host }),
+            Input::Call(Call::Issue { .. } | Call::Action { .. }) => None,
+            Input::Result { id, result, load } => Some(Event::Reply { id, result, load }),
+            Input::Down(host) => Some(Event::Down { host }),
         }
     }
 
-    fn board_counts(&mut self) {
+    fn flush_counters(&mut self) {
         for (name, count) in self.entry.counts().take() {
             self.board.add(name, &[], count);
         }
@@ -153,23 +153,23 @@
     }
 
     fn answer(&mut self, request: id::Request, answer: Result<Answer, Refusal>) {
-        let Some(waiting) = self.waiting.remove(&request) else {
+        let Some(pending) = self.pending.remove(&request) else {
             return;
         };
         match &answer {
             Ok(answer) => {
-                let latency = self.clock.now() - waiting.since;
-                report::answer(&self.board, &waiting.series, latency, answer);
+                let latency = self.clock.now() - pending.received_at;
+                report::record_answer(&self.board, &pending.labels, latency, answer);
             }
-            Err(refusal) => report::refusal(&self.board, &waiting.series, refusal),
+            Err(refusal) => report::record_refusal(&self.board, &pending.labels, refusal),
         }
-        // The caller may have gone away meanwhile.
-        let _ = waiting.reply.send(answer);
+        // The send fails if the caller has disconnected.
+        let _ = pending.reply.send(answer);
     }
 }
 
-/// Waits until `wake`, or forever when there is none.
-pub(crate) async fn until(clock: Clock, wake: Option<Duration>) {
+/// Sleeps until `wake`, or forever if it is `None`.
+pub(crate) async fn sleep_until(clock: Clock, wake: Option<Duration>) {
     match wake {
         Some(wake) => tokio::time::sleep(wake.saturating_sub(clock.now())).await,
         None => std::future::pending().await,
--- a/crates/lentilliftd/src/fleet.rs
+++ b/crates/lentilliftd/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The task that takes part in the fleet: it owns the datagram socket and derives the view.
+//! The membership task: it owns the datagram socket, exchanges hosts and published values with peers
+//! and publishes the resulting view of the fleet.
 
 use crate::peers::Peers;
 use lentillift_core::id;
@@ -31,32 +32,33 @@
 use tokio::time::MissedTickBehavior;
 use tracing::info;
 
-/// Messages to peers that wait at most; what comes beyond is dropped and asked for again.
-const QUEUE: usize = 1024;
+/// Capacity of the queue of messages to peers. A message that finds it full is dropped and requested
+/// again later.
+const LINK_QUEUE_CAPACITY: usize = 1024;
 
-/// What other tasks tell this one.
+/// Inputs from other tasks.
 #[derive(Debug)]
-pub enum Mail {
+pub enum Input {
     /// A peer sent a message over its link.
     Message(id::Host, sync::Message),
-    /// The configuration service answered with its index, or the call failed.
+    /// The configuration service's index; `None` if the call failed.
     Index(Option<Index>),
-    /// The configuration service answered with a value, or the call failed.
+    /// A value from the configuration service; `None` if the call failed.
     Value(Key, Option<Vec<u8>>),
-    /// The process takes nothing new from now on.
+    /// The process accepts no new requests from now on.
     Leave,
-    /// The process ends; answered once the others are told.
+    /// The process ends; completed once the other hosts are notified.
     End(oneshot::Sender<()>),
 }
 
-/// What is to be done about a link.
+/// A command for the link to a peer.
 #[derive(Debug)]
-enum Letter {
+enum LinkCommand {
     Send(id::Host, Message),
     Lose(Peer),
 }
 
-/// The task that takes part in the fleet.
+/// The membership task.
 #[derive(Debug)]
 pub struct Task {
     fleet: Fleet<StdRng>,
@@ -65,48 +67,53 @@
     board: Board,
     clock: Clock,
     view: watch::Sender<Arc<View>>,
-    mail: mpsc::Sender<Mail>,
-    /// Messages for peers.
+    inputs: mpsc::Sender<Input>,
+    /// Commands for the links to peers.
     ///
-    /// A task of its own passes them on: while this one waited for a full queue it would neither
-    /// answer probes nor renew the view, and the whole process would look dead.
-    letters: mpsc::Sender<Letter>,
+    /// A separate task carries them out. If this one waited for a full queue it would neither answer
+    /// probes nor update the view, and the other hosts would declare this process dead.
+    link_commands: mpsc::Sender<LinkCommand>,
 }
 
-/// The other tasks that the task needs.
+/// Handles that the membership task needs to reach the rest of the process.
 #[derive(Debug)]
-pub struct Around {
-    /// The way to other processes.
+pub struct Context {
+    /// Sends messages to other processes.
     pub peers: Peers,
-    /// What operators are told.
+    /// Receives metrics, readiness and time line events for operators.
     pub board: Board,
-    /// The process's clock.
+    /// Clock shared by all tasks of the process.
     pub clock: Clock,
-    /// Where views go.
+    /// Publishes each new view to the other tasks.
     pub view: watch::Sender<Arc<View>>,
-    /// How calls under way report back to the task.
-    pub mail: mpsc::Sender<Mail>,
+    /// The task's own input channel, over which calls to the configuration service return.
+    pub inputs: mpsc::Sender<Input>,
 }
 
 impl Task {
-    /// Makes the task; nothing is sent yet.
-    pub fn new(fleet: Fleet<StdRng>, socket: UdpSocket, platform: Client, around: Around) -> Self {
-        let (letters, queue) = mpsc::channel(QUEUE);
-        tokio::spawn(deliver(queue, around.peers));
+    /// Creates the task; [`Task::run`] starts it.
+    pub fn new(
+        fleet: Fleet<StdRng>,
+        socket: UdpSocket,
+        platform: Client,
+        context: Context,
+    ) -> Self {
+        let (link_commands, queue) = mpsc::channel(LINK_QUEUE_CAPACITY);
+        tokio::spawn(run_link_commands(queue, context.peers));
         Self {
             fleet,
             socket,
             platform,
-            board: around.board,
-            clock: around.clock,
-            view: around.view,
-            mail: around.mail,
-            letters,
+            board: context.board,
+            clock: context.clock,
+            view: context.view,
+            inputs: context.inputs,
+            link_commands,
         }
     }
 
-    /// Takes part until the process has ended.
-    pub async fn run(mut self, mut mail: mpsc::Receiver<Mail>) {
+    /// Runs until the process ends or its input channel is closed.
+    pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; datagram::LIMIT];
@@ -114,21 +121,22 @@
             let event = tokio::select! {
                 _ = ticks.tick() => Event::Tick,
                 received = self.socket.recv(&mut buffer) => match received {
-                    Ok(length) => match self.read(&buffer[..length]) {
+                    Ok(length) => match self.decode_packet(&buffer[..length]) {
                         Some(packet) => Event::Packet(packet),
                         None => continue,
                     },
-                    // A datagram of ours that was refused shows as an error of a later read.
+                    // A rejected datagram that was sent earlier surfaces as an error of a later
+                    // receive.
                     Err(_) => continue,
                 },
-                received = mail.recv() => match received {
-                    Some(Mail::Message(from, message)) => Event::Message(from, message),
-                    Some(Mail::Index(index)) => Event::Index(index),
-                    Some(Mail::Value(key, body)) => Event::Value(key, body),
-                    Some(Mail::Leave) => Event::Leave,
-                    Some(Mail::End(told)) => {
+                received = inputs.recv() => match received {
+                    Some(Input::Message(from, message)) => Event::Message(from, message),
+                    Some(Input::Index(index)) => Event::Index(index),
+                    Some(Input::Value(key, body)) => Event::Value(key, body),
+                    Some(Input::Leave) => Event::Leave,
+                    Some(Input::End(done)) => {
                         self.handle(Event::End);
-                        let _ = told.send(());
+                        let _ = done.send(());
                         return;
                     }
                     None => return,
@@ -149,10 +157,14 @@
             Effect::View(view) => {
                 self.view.send_replace(view);
             }
-            Effect::Packet(to, packet) => self.send(to, packet),
-            Effect::Message(to, message) => self.post(Letter::Send(to, Message::Sync(message))),
-            Effect::Lost(host, incarnation) => self.post(Letter::Lose(Peer { host, incarnation })),
-            Effect::Call(call) => self.call(call),
+            Effect::Packet(to, packet) => self.send_packet(to, packet),
+            Effect::Message(to, message) => {
+                self.queue_command(LinkCommand::Send(to, Message::Sync(message)))
+            }
+            Effect::Lost(host, incarnation) => {
+                self.queue_command(LinkCommand::Lose(Peer { host, incarnation }))
+            }
+            Effect::Call(call) => self.start_call(call),
             Effect::Ready(ready) => self.board.set_ready(ready),
             Effect::Note {
                 kind,
@@ -172,27 +184,28 @@
         }
     }
 
-    fn post(&self, letter: Letter) {
-        if self.letters.try_send(letter).is_err() {
+    fn queue_command(&self, command: LinkCommand) {
+        if self.link_commands.try_send(command).is_err() {
             self.board.add("lentillift_sync_dropped_total", &[], 1);
         }
     }
 
-    fn send(&self, to: SocketAddr, packet: Packet) {
+    fn send_packet(&self, to: SocketAddr, packet: Packet) {
         let labels = [("direction", "sent")];
         match datagram::encode(packet) {
             Ok(bytes) => {
-                self.count(&labels, bytes.len());
-                // A datagram that finds no room is lost like any other; probes are repeated.
+                self.count_datagram(&labels, bytes.len());
+                // If the send buffer is full the datagram is lost, like one lost on the network; probes
+                // are repeated.
                 let _ = self.socket.try_send_to(&bytes, to);
             }
             Err(_) => self.board.add("lentillift_datagrams_bad_total", &labels, 1),
         }
     }
 
-    fn read(&self, bytes: &[u8]) -> Option<Packet> {
+    fn decode_packet(&self, bytes: &[u8]) -> Option<Packet> {
         let labels = [("direction", "received")];
-        self.count(&labels, bytes.len());
+        self.count_datagram(&labels, bytes.len());
         let packet = datagram::decode(bytes);
         if packet.is_err() {
             self.board.add("lentillift_datagrams_bad_total", &labels, 1);
@@ -200,17 +213,17 @@
         packet.ok()
     }
 
-    fn count(&self, labels: &[(&str, &str)], bytes: usize) {
+    fn count_datagram(&self, labels: &[(&str, &str)], bytes: usize) {
         self.board.add("lentillift_datagrams_total", labels, 1);
         let bytes = bytes as u64;
         self.board
             .add("lentillift_datagram_bytes_total", labels, bytes);
     }
 
-    /// Makes a call that reports back by mail.
-    fn call(&self, call: Call) {
+    /// Starts a call to the configuration service; its result arrives as an input.
+    fn start_call(&self, call: Call) {
         let client = self.platform.clone();
-        let mail = self.mail.clone();
+        let inputs = self.inputs.clone();
         let kind = match call {
             Call::Index { .. } => "index",
             Call::Value(_) => "value",
@@ -219,19 +232,19 @@
             .add("lentillift_platform_calls_total", &[("kind", kind)], 1);
         tokio::task::spawn_blocking(move || {
             let result = match call {
-                Call::Index { since, wait } => Mail::Index(index(&client, since, wait)),
+                Call::Index { since, wait } => Input::Index(watch_index(&client, since, wait)),
                 Call::Value(key) => {
                     let body = client.value(&key).ok();
-                    Mail::Value(key, body)
+                    Input::Value(key, body)
                 }
             };
-            // The task may have ended meanwhile.
-            let _ = mail.blocking_send(result);
+            // The send fails if the task has ended.
+            let _ = inputs.blocking_send(result);
         });
     }
 }
 
-fn index(client: &Client, since: u64, wait: Duration) -> Option<Index> {
+fn watch_index(client: &Client, since: u64, wait: Duration) -> Option<Index> {
     let index: client::Index = client.watch(since, wait).ok()?;
     let keys = index.keys.into_iter();
     Some(Index {
@@ -240,12 +253,12 @@
     })
 }
 
-/// Passes messages on to peers until the task that writes them is gone.
-async fn deliver(mut queue: mpsc::Receiver<Letter>, peers: Peers) {
-    while let Some(letter) = queue.recv().await {
-        match letter {
-            Letter::Send(to, message) => peers.send(&to, message).await,
-            Letter::Lose(peer) => peers.lose(peer).await,
+/// Carries out link commands until the membership task ends.
+async fn run_link_commands(mut queue: mpsc::Receiver<LinkCommand>, peers: Peers) {
+    while let Some(command) = queue.recv().await {
+        match command {
+            LinkCommand::Send(to, message) => peers.send(&to, message).await,
+            LinkCommand::Lose(peer) => peers.disconnect(peer).await,
         }
     }
 }
--- a/crates/lentilliftd/src/lib.rs
+++ b/crates/lentilliftd/src/lib.rs
@@ -1,6 +1,7 @@
-//! The daemon: tasks that own sockets and state, and talk by messages.
+//! The daemon: asynchronous tasks that own sockets and state and communicate over channels.
 //!
-//! Each task drives one of the decision crates, which know neither sockets nor clocks.
+//! Each task drives the state machine of one decision crate; those crates do no I/O and read no
+//! clock.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentilliftd/src/once.rs
+++ b/crates/lentilliftd/src/once.rs
@@ -1,4 +1,4 @@
-//! The task that serves requests that may run at most once.
+//! The task that serves requests with at-most-once execution.
 
 use crate::peers::Peers;
 use crate::report;
@@ -23,37 +23,37 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// What other tasks tell this one.
+/// Inputs from other tasks.
 #[derive(Debug)]
-pub enum Mail {
-    /// A caller's call about a request that may run at most once.
+pub enum Input {
+    /// A caller requested an id or submitted an at-most-once request.
     Call(Call),
-    /// Something happened that concerns such a request.
+    /// An event for the state machine, such as a peer's message or a result.
     Event(Event),
-    /// The process is to end: send nothing new, then hand over what is remembered.
+    /// The process shuts down: start no new request, then hand over the stored request ids.
     Leave {
-        /// How long requests under way may still take.
+        /// Longest wait for requests in flight.
         within: Duration,
-        /// Told once nothing is left to be done.
-        left: oneshot::Sender<()>,
+        /// Completed once all ids are handed over.
+        done: oneshot::Sender<()>,
     },
 }
 
-/// A caller that waits for the outcome of its request.
+/// A request whose caller waits for the outcome.
 #[derive(Debug)]
-struct Waiting {
+struct PendingAction {
     reply: oneshot::Sender<Settled>,
     service: id::Service,
     key: String,
 }
 
-/// The task that serves requests that may run at most once.
+/// The task that serves requests with at-most-once execution.
 #[derive(Debug)]
 pub struct Task {
     once: Traced<Once<StdRng>>,
-    issues: HashMap<id::Request, oneshot::Sender<Result<String, Refusal>>>,
-    calls: HashMap<id::Request, Waiting>,
-    left: Vec<oneshot::Sender<()>>,
+    pending_issues: HashMap<id::Request, oneshot::Sender<Result<String, Refusal>>>,
+    pending_actions: HashMap<id::Request, PendingAction>,
+    drain_done: Vec<oneshot::Sender<()>>,
     next_issue: id::Request,
     clock: Clock,
     peers: Peers,
@@ -61,13 +61,13 @@
 }
 
 impl Task {
-    /// Makes the task; nothing is served yet.
+    /// Creates the task; [`Task::run`] starts serving.
     pub fn new(once: Traced<Once<StdRng>>, clock: Clock, peers: Peers, board: Board) -> Self {
         Self {
             once,
-            issues: HashMap::new(),
-            calls: HashMap::new(),
-            left: Vec::new(),
+            pending_issues: HashMap::new(),
+            pending_actions: HashMap::new(),
+            drain_done: Vec::new(),
             next_issue: 0,
             clock,
             peers,
@@ -75,24 +75,24 @@
         }
     }
 
-    /// Serves until all senders are gone.
+    /// Serves requests until the input channel or the view channel is closed.
     pub async fn run(
         mut self,
-        mut mail: mpsc::Receiver<Mail>,
+        mut inputs: mpsc::Receiver<Input>,
         mut view: watch::Receiver<Arc<View>>,
     ) {
         loop {
             let wake = self.once.next_wake();
             let event = tokio::select! {
-                received = mail.recv() => match received {
-                    Some(received) => self.open(received),
+                received = inputs.recv() => match received {
+                    Some(received) => self.event_for(received),
                     None => return,
                 },
                 changed = view.changed() => match changed {
                     Ok(()) => Some(Event::View(view.borrow_and_update().clone())),
                     Err(_) => return,
                 },
-                () = crate::entry::until(self.clock, wake) => Some(Event::Tick),
+                () = crate::entry::sleep_until(self.clock, wake) => Some(Event::Tick),
             };
             if let Some(event) = event {
                 let effects = self.once.handle(self.clock.now(), event);
@@ -101,39 +101,39 @@
         }
     }
 
-    fn open(&mut self, mail: Mail) -> Option<Event> {
-        match mail {
-            Mail::Call(Call::Issue {
+    fn event_for(&mut self, input: Input) -> Option<Event> {
+        match input {
+            Input::Call(Call::Issue {
                 service,
                 caller,
                 reply,
             }) => {
                 self.next_issue += 1;
                 let request = self.next_issue;
-                self.issues.insert(request, reply);
+                self.pending_issues.insert(request, reply);
                 Some(Event::Issue {
                     request,
                     service,
                     caller,
                 })
             }
-            Mail::Call(Call::Action {
+            Input::Call(Call::Action {
                 request,
                 submit,
                 reply,
             }) => {
-                let waiting = Waiting {
+                let pending = PendingAction {
                     reply,
                     service: submit.service.clone(),
                     key: submit.key.to_string(),
                 };
-                self.calls.insert(request, waiting);
+                self.pending_actions.insert(request, pending);
                 Some(Event::Call { request, submit })
             }
-            Mail::Call(Call::Query { .. } | Call::Gone { .. }) => None,
-            Mail::Event(event) => Some(event),
-            Mail::Leave { within, left } => {
-                self.left.push(left);
+            Input::Call(Call::Query { .. } | Call::Gone { .. }) => None,
+            Input::Event(event) => Some(event),
+            Input::Leave { within, done } => {
+                self.drain_done.push(done);
                 Some(Event::Leave { within })
             }
         }
@@ -143,7 +143,7 @@
         for effect in effects {
             match effect {
                 Effect::Issued { request, key } => {
-                    if let Some(reply) = self.issues.remove(&request) {
+                    if let Some(reply) = self.pending_issues.remove(&request) {
                         let _ = reply.send(key);
                     }
                 }
@@ -171,8 +171,8 @@
                     self.send(&to, Message::Taken { number }).await;
                 }
                 Effect::Left => {
-                    for left in self.left.drain(..) {
-                        let _ = left.send(());
+                    for done in self.drain_done.drain(..) {
+                        let _ = done.send(());
                     }
                 }
             }
@@ -187,12 +187,12 @@
         };
         let labels = [("outcome", outcome)];
         self.board.add("lentillift_actions_total", &labels, 1);
-        if let Some(waiting) = self.calls.remove(&request) {
+        if let Some(pending) = self.pending_actions.remove(&request) {
             if settled.outcome == Outcome::Unknown {
-                report::unknown(&self.board, &waiting.service, &waiting.key);
+                report::record_unknown_outcome(&self.board, &pending.service, &pending.key);
             }
-            // The caller may have gone away meanwhile.
-            let _ = waiting.reply.send(settled);
+            // The send fails if the caller has disconnected.
+            let _ = pending.reply.send(settled);
         }
     }
 
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -1,6 +1,6 @@
-//! The task that owns backend servers.
+//! The task that owns backend servers: it holds leases on them and dispatches requests to them.
 
-use crate::entry::until;
+use crate::entry::sleep_until;
 use crate::peers::Peers;
 use crate::report;
 use crate::tenure;
@@ -32,12 +32,12 @@
 use tokio::sync::watch;
 use tokio::time::MissedTickBehavior;
 
-/// Time between looks at what is due with leases; a part of all their figures.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of lease processing; a fraction of every lease timing.
+const LEASE_TICK: Duration = Duration::from_millis(100);
 
-/// What other tasks tell this one.
+/// Inputs from other tasks.
 #[derive(Debug)]
-pub enum Mail {
+pub enum Input {
     /// An entry sent a sub-request.
     Sub {
         /// The host whose entry sent it.
@@ -45,109 +45,114 @@
         /// The sub-request.
         sub: Sub,
     },
-    /// An entry no longer wants a sub-request.
+    /// An entry cancelled a sub-request.
     Cancel {
         /// The host whose entry sent it.
         from: id::Host,
-        /// The sub-request's number there.
+        /// The sub-request's id, unique at that entry.
         id: id::Sub,
     },
-    /// A backend server answered, or failed to.
+    /// A backend server answered, or the exchange with it failed.
     Done {
-        /// The request's number.
+        /// The dispatch that ended.
         ticket: Ticket,
-        /// What came of it.
+        /// The reply, or the failure.
         result: sub::Result,
-        /// What the backend server reported with it.
+        /// The load and state that the backend server reported with its reply.
         report: Report,
     },
-    /// A process passed on a sub-request that it holds to be for this one.
+    /// Another process forwarded a sub-request because it takes this one for the lease holder.
     Forward {
         /// The host whose entry sent it.
         from: id::Host,
         /// The sub-request.
         sub: Sub,
     },
-    /// Something about leases.
-    Lease(tenure::Mail),
+    /// An input about leases.
+    Lease(tenure::Input),
 }
 
 /// The task that owns backend servers.
 #[derive(Debug)]
 pub struct Task {
-    pub(crate) me: Peer,
+    pub(crate) local_peer: Peer,
     pub(crate) owner: Owner,
     pub(crate) tenure: Tenure,
-    /// Who waits until all is handed over.
-    pub(crate) leaving: Option<oneshot::Sender<()>>,
+    /// Completed once all backend servers are handed over; set while the process shuts down.
+    pub(crate) handover_done: Option<oneshot::Sender<()>>,
     view: Arc<View>,
     clients: HashMap<id::Backend, (SocketAddr, Client)>,
     clock: Clock,
     pub(crate) peers: Peers,
     pub(crate) board: Board,
-    mail: mpsc::Sender<Mail>,
+    inputs: mpsc::Sender<Input>,
 }
 
 impl Task {
-    /// Makes the task; `mail` is how requests under way report back to it.
+    /// Creates the task; requests in flight report their results over `inputs`.
     pub fn new(
-        me: Peer,
+        local_peer: Peer,
         clock: Clock,
         peers: Peers,
         board: Board,
-        mail: mpsc::Sender<Mail>,
+        inputs: mpsc::Sender<Input>,
     ) -> Self {
         let options = lentillift_fleet::tenure::Options::default();
         board.set_settled(false);
         Self {
             owner: Owner::new(),
-            tenure: Tenure::new(clock.now(), me.host.clone(), me.incarnation, options),
-            me,
-            leaving: None,
+            tenure: Tenure::new(
+                clock.now(),
+                local_peer.host.clone(),
+                local_peer.incarnation,
+                options,
+            ),
+            local_peer,
+            handover_done: None,
             view: Arc::default(),
             clients: HashMap::new(),
             clock,
             peers,
             board,
-            mail,
+            inputs,
         }
     }
 
-    /// Serves until the view's sender is gone.
+    /// Serves sub-requests until the input channel or the view channel is closed.
     pub async fn run(
         mut self,
-        mut mail: mpsc::Receiver<Mail>,
+        mut inputs: mpsc::Receiver<Input>,
         mut view: watch::Receiver<Arc<View>>,
     ) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(LEASE_TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut reports = report::times();
+        let mut reports = report::interval();
         loop {
             let wake = self.owner.next_wake();
             tokio::select! {
                 _ = reports.tick() => {
                     let now = self.clock.now();
-                    report::owner(&self.board, now, &self.view, &self.owner);
+                    report::publish_owner_status(&self.board, now, &self.view, &self.owner);
                     continue;
                 }
-                received = mail.recv() => match received {
-                    Some(received) => self.open(received).await,
+                received = inputs.recv() => match received {
+                    Some(received) => self.handle_input(received).await,
                     None => return,
                 },
                 changed = view.changed() => match changed {
                     Ok(()) => {
                         let view = view.borrow_and_update().clone();
-                        self.look(view).await;
+                        self.set_view(view).await;
                     }
                     Err(_) => return,
                 },
                 _ = ticks.tick() => {
                     let now = self.clock.now();
                     let effects = self.tenure.tick(now);
-                    self.keep(now, effects).await;
+                    self.apply_lease_effects(now, effects).await;
                     self.board.set_settled(self.tenure.is_ready(now));
                 }
-                () = until(self.clock, wake) => {
+                () = sleep_until(self.clock, wake) => {
                     self.handle(self.clock.now(), Event::Tick).await;
                 }
             };
@@ -157,18 +162,18 @@
         }
     }
 
-    async fn look(&mut self, view: Arc<View>) {
+    async fn set_view(&mut self, view: Arc<View>) {
         let now = self.clock.now();
         self.view = view.clone();
         self.handle(now, Event::View(view.clone())).await;
         let effects = self.tenure.set_view(now, view);
-        self.keep(now, effects).await;
+        self.apply_lease_effects(now, effects).await;
     }
 
-    async fn open(&mut self, mail: Mail) {
+    async fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
-        match mail {
-            Mail::Sub { from, sub } => match self.tenure.hold(now, &sub.backend) {
+        match input {
+            Input::Sub { from, sub } => match self.tenure.hold(now, &sub.backend) {
                 Hold::No(Some(holder)) => {
                     self.peers
                         .send(&holder, Message::Forward { from, sub })
@@ -176,10 +181,11 @@
                 }
                 _ => self.handle(now, Event::Sub { from, sub }).await,
             },
-            // Not passed on again: two processes that each name the other would do so for ever.
-            Mail::Forward { from, sub } => self.handle(now, Event::Sub { from, sub }).await,
-            Mail::Cancel { from, id } => self.handle(now, Event::Cancel { from, id }).await,
-            Mail::Done {
+            // Never forwarded a second time: two processes that each take the other for the holder
+            // would forward it back and forth forever.
+            Input::Forward { from, sub } => self.handle(now, Event::Sub { from, sub }).await,
+            Input::Cancel { from, id } => self.handle(now, Event::Cancel { from, id }).await,
+            Input::Done {
                 ticket,
                 result,
                 report,
@@ -192,7 +198,7 @@
                 self.handle(now, done).await;
                 self.hand_over(now).await;
             }
-            Mail::Lease(mail) => self.open_lease(now, mail).await,
+            Input::Lease(input) => self.handle_lease_input(now, input).await,
         }
     }
 
@@ -202,8 +208,8 @@
         }
     }
 
-    /// Whether the owner still goes by a lease on `backend` that is over.
-    pub(crate) fn lost(&self, backend: &id::Backend) -> bool {
+    /// Whether the owner still has state for `backend`, although its lease has ended.
+    pub(crate) fn has_state_for(&self, backend: &id::Backend) -> bool {
         self.owner.keeps(backend)
     }
 
@@ -234,7 +240,12 @@
                 self.peers.send(&to, Message::Forward { from, sub }).await;
             }
             Effect::Note { backend, change } => {
-                report::backend(&self.board, &self.view, &backend, &change.to_string());
+                report::record_backend_change(
+                    &self.board,
+                    &self.view,
+                    &backend,
+                    &change.to_string(),
+                );
             }
         }
     }
@@ -242,28 +253,29 @@
     fn dispatch(&mut self, ticket: Ticket, sub: Sub, end: Time) {
         let labels = [("backend", &*sub.backend)];
         self.board.add("lentillift_dispatches_total", &labels, 1);
-        let mail = self.mail.clone();
+        let inputs = self.inputs.clone();
         let client = self.client(&sub.backend);
         let clock = self.clock;
         tokio::task::spawn_blocking(move || {
-            // Asked again here: the process may have been paused since the decision, and the lease
-            // be over. Work sent then would come on top of what the next holder sends.
+            // Checked again here: the process may have been paused since the decision and the lease
+            // have expired. A request sent then would add to those of the next holder and exceed
+            // the backend server's limit.
             let left = end.saturating_sub(clock.now());
             let (result, report) = match client {
                 _ if left.is_zero() => (sub::Result::not_run(Failure::Refused), Report::default()),
                 Some(client) => client.send(ticket, &sub, left),
                 None => (sub::Result::not_run(Failure::Out), Report::default()),
             };
-            let done = Mail::Done {
+            let done = Input::Done {
                 ticket,
                 result,
                 report,
             };
-            let _ = mail.blocking_send(done);
+            let _ = inputs.blocking_send(done);
         });
     }
 
-    /// The client of a backend server, made anew when its address changes.
+    /// Returns the client of a backend server; creates a new one when its address changes.
     fn client(&mut self, backend: &id::Backend) -> Option<Client> {
         let known = self.view.backends.get(backend)?;
         let address = known.server.address;
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sending to other processes, and sorting what comes from them.
+//! Sends messages to other processes and routes received messages to tasks.
 
 use lentillift_core::id;
 use lentillift_core::sub;
@@ -20,59 +20,62 @@
 use crate::owner;
 use crate::tenure;
 
-/// A way to send messages to any host, this one included.
+/// Sends messages to any host, including this one.
 #[derive(Debug, Clone)]
 pub struct Peers {
-    me: id::Host,
+    local_host: id::Host,
     view: watch::Receiver<Arc<View>>,
     hub: hub::Handle,
-    local: mpsc::Sender<Inbound>,
-    peer: Peer,
+    loopback: mpsc::Sender<Inbound>,
+    local_peer: Peer,
 }
 
 impl Peers {
-    /// Makes a way to send over `hub`, and back to this process over `local`.
+    /// Sends to other hosts over `hub`, and to this process over `loopback`.
     pub fn new(
         peer: Peer,
         view: watch::Receiver<Arc<View>>,
         hub: hub::Handle,
-        local: mpsc::Sender<Inbound>,
+        loopback: mpsc::Sender<Inbound>,
     ) -> Self {
         Self {
-            me: peer.host.clone(),
+            local_host: peer.host.clone(),
             view,
             hub,
-            local,
-            peer,
+            loopback,
+            local_peer: peer,
         }
     }
 
-    /// A name that differs between all processes, and between starts of each.
+    /// A name that is unique to this process and to this start of it.
     pub fn sender(&self) -> String {
-        format!("{}.{:x}", self.peer.host, self.peer.incarnation)
+        format!("{}.{:x}", self.local_peer.host, self.local_peer.incarnation)
     }
 
-    /// Sends a message; what can't be sent comes back as undelivered.
+    /// Sends a message; one that cannot be sent is returned as [`Inbound::Undelivered`].
     pub async fn send(&self, to: &id::Host, message: Message) {
-        if *to == self.me {
+        if *to == self.local_host {
             let received = Inbound::Received {
-                peer: self.peer.clone(),
+                peer: self.local_peer.clone(),
                 messages: vec![message],
             };
-            let _ = self.local.send(received).await;
+            let _ = self.loopback.send(received).await;
             return;
         }
         match self.address(to) {
             Some(address) => self.hub.send(to.clone(), address, message).await,
             None => {
                 let to = to.clone();
-                let _ = self.local.send(Inbound::Undelivered { to, message }).await;
+                let _ = self
+                    .loopback
+                    .send(Inbound::Undelivered { to, message })
+                    .await;
             }
         }
     }
 
-    /// Gives up the link to a process that is held to be over.
-    pub async fn lose(&self, peer: Peer) {
+    /// Closes the link to a process that is gone, dead or replaced by a new incarnation.
+    pub async fn disconnect(&self, peer: Peer) {
         self.hub.lose(peer).await;
     }
 
@@ -81,85 +84,87 @@
     }
 }
 
-/// The tasks that messages are for.
+/// Input channels of the tasks, to which messages are routed.
 #[derive(Debug, Clone)]
-pub struct Desks {
-    /// The task that serves queries.
-    pub entry: mpsc::Sender<entry::Mail>,
-    /// The task that serves requests that may run at most once.
-    pub once: mpsc::Sender<once::Mail>,
-    /// The task that owns backend servers.
-    pub owner: mpsc::Sender<owner::Mail>,
-    /// The task that takes part in the fleet.
-    pub fleet: mpsc::Sender<fleet::Mail>,
+pub struct Router {
+    /// Serves queries.
+    pub entry: mpsc::Sender<entry::Input>,
+    /// Serves requests with at-most-once execution.
+    pub once: mpsc::Sender<once::Input>,
+    /// Owns backend servers.
+    pub owner: mpsc::Sender<owner::Input>,
+    /// Handles membership and published values.
+    pub fleet: mpsc::Sender<fleet::Input>,
 }
 
-/// Passes on what comes from other processes until all senders are gone.
-pub async fn sort(mut inbound: mpsc::Receiver<Inbound>, desks: Desks) {
+/// Routes what the hub reports to the tasks until all senders are dropped.
+pub async fn route(mut inbound: mpsc::Receiver<Inbound>, router: Router) {
     while let Some(inbound) = inbound.recv().await {
         match inbound {
             Inbound::Received { peer, messages } => {
                 for message in messages {
-                    desks.receive(&peer, message).await;
+                    router.route_message(&peer, message).await;
                 }
             }
-            Inbound::Undelivered { message, .. } => desks.undelivered(message).await,
+            Inbound::Undelivered { message, .. } => router.handle_undelivered(message).await,
             Inbound::Down { host } => {
-                let _ = desks.entry.send(entry::Mail::Down(host.clone())).await;
-                desks.once(once::Event::Down { host }).await;
+                let _ = router.entry.send(entry::Input::Down(host.clone())).await;
+                router.send_once_event(once::Event::Down { host }).await;
             }
         }
     }
 }
 
-impl Desks {
-    async fn receive(&self, peer: &Peer, message: Message) {
+impl Router {
+    async fn route_message(&self, peer: &Peer, message: Message) {
         let from = peer.host.clone();
         match message {
             Message::Sub(sub) => {
-                let _ = self.owner.send(owner::Mail::Sub { from, sub }).await;
+                let _ = self.owner.send(owner::Input::Sub { from, sub }).await;
             }
             Message::Forward { from, sub } => {
-                let _ = self.owner.send(owner::Mail::Forward { from, sub }).await;
+                let _ = self.owner.send(owner::Input::Forward { from, sub }).await;
             }
             Message::Claims { sent, claims } => {
                 let from = peer.clone();
-                self.lease(tenure::Mail::Claims { from, sent, claims })
+                self.send_lease_input(tenure::Input::Claims { from, sent, claims })
                     .await;
             }
             Message::Verdicts { sent, verdicts } => {
-                let mail = tenure::Mail::Verdicts {
+                let input = tenure::Input::Verdicts {
                     from,
                     sent,
                     verdicts,
                 };
-                self.lease(mail).await;
+                self.send_lease_input(input).await;
             }
             Message::Release(released) => {
                 let from = peer.clone();
-                self.lease(tenure::Mail::Release { from, released }).await;
+                self.send_lease_input(tenure::Input::Release { from, released })
+                    .await;
             }
-            Message::Cede(transfer) => self.lease(tenure::Mail::Cede(transfer)).await,
+            Message::Cede(transfer) => self.send_lease_input(tenure::Input::Cede(transfer)).await,
             Message::Ceded(backend) => {
                 let by = from;
-                self.lease(tenure::Mail::Ceded { by, backend }).await;
+                self.send_lease_input(tenure::Input::Ceded { by, backend })
+                    .await;
             }
             Message::Cancel(id) => {
-                let _ = self.owner.send(owner::Mail::Cancel { from, id }).await;
+                let _ = self.owner.send(owner::Input::Cancel { from, id }).await;
             }
             Message::Result {
                 desk,
                 id,
                 result,
                 load,
-            } => self.result(desk, id, result, load).await,
+            } => self.send_result(desk, id, result, load).await,
             Message::Submit { request, submit } => {
                 let event = once::Event::Submit {
                     from,
                     request,
                     submit,
                 };
-                self.once(event).await;
+                self.send_once_event(event).await;
             }
             Message::Settled { request, settled } => {
                 let event = once::Event::Settled {
@@ -167,42 +172,49 @@
                     request,
                     settled,
                 };
-                self.once(event).await;
+                self.send_once_event(event).await;
             }
             Message::NotHome { request } => {
-                self.once(once::Event::NotHome { from, request }).await;
+                self.send_once_event(once::Event::NotHome { from, request })
+                    .await;
+            }
+            Message::Handover(parcel) => {
+                self.send_once_event(once::Event::Handover { from, parcel })
+                    .await
             }
-            Message::Handover(parcel) => self.once(once::Event::Handover { from, parcel }).await,
-            Message::Taken { number } => self.once(once::Event::Taken { number }).await,
+            Message::Taken { number } => self.send_once_event(once::Event::Taken { number }).await,
             Message::Sync(message) => {
-                let _ = self.fleet.send(fleet::Mail::Message(from, message)).await;
+                let _ = self.fleet.send(fleet::Input::Message(from, message)).await;
             }
         }
     }
 
-    async fn lease(&self, mail: tenure::Mail) {
-        let _ = self.owner.send(owner::Mail::Lease(mail)).await;
+    async fn send_lease_input(&self, input: tenure::Input) {
+        let _ = self.owner.send(owner::Input::Lease(input)).await;
     }
 
-    async fn once(&self, event: once::Event) {
-        let _ = self.once.send(once::Mail::Event(event)).await;
+    async fn send_once_event(&self, event: once::Event) {
+        let _ = self.once.send(once::Input::Event(event)).await;
     }
 
-    /// A message that never left this process has run nowhere.
-    async fn undelivered(&self, message: Message) {
+    /// Reports a message that never left this process, and hence ran nowhere, to the task concerned.
+    async fn handle_undelivered(&self, message: Message) {
         match message {
             Message::Sub(sub) => {
                 let result = sub::Result::not_run(Failure::Connection);
-                self.result(sub.work.desk(), sub.id, result, None).await;
+                self.send_result(sub.work.desk(), sub.id, result, None)
+                    .await;
             }
             Message::Forward { from, sub } => {
-                self.lease(tenure::Mail::Returned { from, sub }).await;
+                self.send_lease_input(tenure::Input::Returned { from, sub })
+                    .await;
             }
             Message::Submit { request, .. } => {
-                self.once(once::Event::Undelivered { request }).await;
+                self.send_once_event(once::Event::Undelivered { request })
+                    .await;
             }
-            Message::Handover(parcel) => self.once(once::Event::Returned(parcel)).await,
-            // Who was to get one of these sees the link end and decides by itself.
+            Message::Handover(parcel) => self.send_once_event(once::Event::Returned(parcel)).await,
+            // The intended recipient of one of these sees the link close and handles that itself.
             Message::Cancel(_)
             | Message::Result { .. }
             | Message::Settled { .. }
@@ -213,19 +225,20 @@
             | Message::Cede(_)
             | Message::Ceded(_)
             | Message::Taken { .. } => {}
-            // Whoever needs it asks again.
+            // The host that needs it requests it again.
             Message::Sync(_) => {}
         }
     }
 
-    async fn result(&self, desk: Desk, id: id::Sub, result: sub::Result, load: Option<Load>) {
+    async fn send_result(&self, desk: Desk, id: id::Sub, result: sub::Result, load: Option<Load>) {
         match desk {
             Desk::Query => {
-                let result = entry::Mail::Result { id, result, load };
+                let result = entry::Input::Result { id, result, load };
                 let _ = self.entry.send(result).await;
             }
             Desk::Once => {
-                self.once(once::Event::Result { id, result }).await;
+                self.send_once_event(once::Event::Result { id, result })
+                    .await;
             }
         }
     }
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -1,4 +1,4 @@
-//! What the tasks tell operators.
+//! Metrics, status sections and time line events that the tasks publish to operators.
 
 use lentillift_core::id;
 use lentillift_core::refusal::Cause;
@@ -17,36 +17,37 @@
 use tokio::time::Interval;
 use tokio::time::MissedTickBehavior;
 
-/// How often a task tells of itself.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between two status reports of a task.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When a task is to tell of itself; a pause is not made up for.
-pub(crate) fn times() -> Interval {
-    let mut times = tokio::time::interval(PERIOD);
-    times.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    times
+/// Timer for a task's status reports; ticks missed during a pause are not caught up.
+pub(crate) fn interval() -> Interval {
+    let mut interval = tokio::time::interval(REPORT_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    interval
 }
 
-/// Service and class of what is not in the configuration.
+/// Label value for a service or class that is not in the configuration.
 ///
-/// A name that a caller made up must not become a series: each would stay in memory for good.
-const UNKNOWN: &str = "unknown";
+/// A name invented by a caller must not create a metric series: series are never removed from
+/// memory.
+const UNKNOWN_LABEL: &str = "unknown";
 
-/// What a query is counted under.
+/// Metric labels of a query.
 #[derive(Debug, Clone)]
-pub(crate) struct Series {
+pub(crate) struct QueryLabels {
     service: id::Service,
     class: id::Class,
 }
 
-impl Series {
-    /// The series of a query.
+impl QueryLabels {
+    /// The labels of `ask`, or [`UNKNOWN_LABEL`] where the configuration lacks its service.
     pub(crate) fn of(view: &View, ask: &Ask) -> Self {
         let config = view.values.config.as_ref();
         let known = config.and_then(|config| {
             let service = config.services.get(&ask.service)?;
-            let own = config.policy.classes.get(&ask.caller);
-            Some(own.unwrap_or(&service.class).clone())
+            let caller_class = config.policy.classes.get(&ask.caller);
+            Some(caller_class.unwrap_or(&service.class).clone())
         });
         match known {
             Some(class) => Self {
@@ -54,16 +55,16 @@
                 class,
             },
             None => Self {
-                service: UNKNOWN.into(),
-                class: UNKNOWN.into(),
+                service: UNKNOWN_LABEL.into(),
+                class: UNKNOWN_LABEL.into(),
             },
         }
     }
 }
 
-/// Tells of an answer.
-pub(crate) fn answer(board: &Board, series: &Series, latency: Time, answer: &Answer) {
-    let Series { service, class } = series;
+/// Records an answer's latency and coverage.
+pub(crate) fn record_answer(board: &Board, labels: &QueryLabels, latency: Time, answer: &Answer) {
+    let QueryLabels { service, class } = labels;
     let labels = [("service", &**service), ("class", &**class)];
     let coverage = &answer.coverage;
     board.observe("lentillift_query_seconds", &labels, latency);
@@ -79,29 +80,34 @@
     board.answered(service, latency, coverage.share());
 }
 
-/// Tells of a refusal.
-pub(crate) fn refusal(board: &Board, series: &Series, refusal: &Refusal) {
-    let Series { service, class } = series;
+/// Counts a refusal by its cause.
+pub(crate) fn record_refusal(board: &Board, labels: &QueryLabels, refusal: &Refusal) {
+    let QueryLabels { service, class } = labels;
     let labels = [
         ("service", &**service),
         ("class", &**class),
-        ("cause", name(refusal.cause)),
+        ("cause", cause_label(refusal.cause)),
     ];
     board.add("lentillift_refusals_total", &labels, 1);
     board.refused(service);
 }
 
-/// Tells of a request that may or may not have run.
+/// Adds a request that may or may not have run to the time line.
 ///
-/// Somebody has to look it up at the backend server, and needs its id for that.
-pub(crate) fn unknown(board: &Board, service: &id::Service, key: &str) {
+/// An operator has to look it up at the backend servers and needs its id for that.
+pub(crate) fn record_unknown_outcome(board: &Board, service: &id::Service, key: &str) {
     let detail = "may or may not have run; look for its id at the backend servers";
     let note = Note::new("unknown outcome", service, detail);
     board.note(note.service(service).request(key));
 }
 
-/// Tells of a change of a backend server.
-pub(crate) fn backend(board: &Board, view: &View, backend: &id::Backend, change: &str) {
+/// Adds a state change of a backend server to the time line.
+pub(crate) fn record_backend_change(
+    board: &Board,
+    view: &View,
+    backend: &id::Backend,
+    change: &str,
+) {
     let note = Note::new("backend", backend, change).backend(backend);
     board.note(match view.backends.get(backend) {
         Some(known) => note.service(&known.service),
@@ -109,7 +115,7 @@
     });
 }
 
-fn name(cause: Cause) -> &'static str {
+fn cause_label(cause: Cause) -> &'static str {
     match cause {
         Cause::UnknownService => "unknown-service",
         Cause::UnknownCaller => "unknown-caller",
@@ -126,8 +132,8 @@
     }
 }
 
-/// Tells of the backend servers that the host owns.
-pub(crate) fn owner(board: &Board, now: Time, view: &View, owner: &Owner) {
+/// Publishes the status of the backend servers that this host owns.
+pub(crate) fn publish_owner_status(board: &Board, now: Time, view: &View, owner: &Owner) {
     let mut section = status::Owner::new();
     let Some(config) = &view.values.config else {
         return;
@@ -158,26 +164,30 @@
     board.set_section("owner", &section);
 }
 
-/// Tells of the queries whose callers wait.
-pub(crate) fn entry(board: &Board, waiting: usize) {
+/// Publishes the number of queries that wait for an answer.
+pub(crate) fn publish_entry_status(board: &Board, waiting: usize) {
     board.set("lentillift_queries_waiting", &[], waiting as f64);
     board.set_section("entry", &status::Entry { waiting });
 }
 
-/// Tells of each new view until there will be none.
-pub(crate) async fn views(board: Board, domain: id::Domain, mut views: watch::Receiver<Arc<View>>) {
+/// Publishes the fleet view when it changes, until the view's sender is dropped.
+pub(crate) async fn publish_views(
+    board: Board,
+    domain: id::Domain,
+    mut views: watch::Receiver<Arc<View>>,
+) {
     loop {
         let view = views.borrow_and_update().clone();
-        tell(&board, &domain, &view);
-        // Views may change many times a second; operators look once.
-        tokio::time::sleep(PERIOD).await;
+        publish_view(&board, &domain, &view);
+        // The view may change many times a second; publishing it once per interval is enough.
+        tokio::time::sleep(REPORT_INTERVAL).await;
         if views.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn tell(board: &Board, domain: &id::Domain, view: &View) {
+fn publish_view(board: &Board, domain: &id::Domain, view: &View) {
     let values = &view.values;
     let config = values.config.as_deref();
     let domains = config.map(|config| {
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -1,4 +1,4 @@
-//! The part of the owner's task that keeps its leases.
+//! Lease handling in the owner task.
 
 use crate::owner::Task;
 use lentillift_core::id;
@@ -18,72 +18,74 @@
 use std::collections::VecDeque;
 use tokio::sync::oneshot;
 
-/// What other tasks and processes say about leases.
+/// Inputs about leases, from other tasks and processes.
 #[derive(Debug)]
-pub enum Mail {
+pub enum Input {
     /// A process claims backend servers from this one.
     Claims {
-        /// The process.
+        /// The claiming process.
         from: Peer,
         /// When it sent the claims, by its clock.
         sent: Time,
-        /// The claims.
+        /// One claim per backend server.
         claims: Vec<Claim>,
     },
     /// A guardian answered claims.
     Verdicts {
-        /// The guardian.
+        /// The guardian's host.
         from: id::Host,
-        /// When the claims were sent.
+        /// When this process sent the claims, by its own clock.
         sent: Time,
-        /// The answers.
+        /// One verdict per claim, with the claim's backend server and attempt.
         verdicts: Vec<(id::Backend, Attempt, Verdict)>,
     },
-    /// A process gives grants back.
+    /// A process releases grants.
     Release {
-        /// The process.
+        /// The releasing process.
         from: Peer,
-        /// What it gives back.
+        /// The backend servers, with the attempt that each was granted to.
         released: Vec<(id::Backend, Attempt)>,
     },
-    /// A holder hands a backend server over to this process.
+    /// A lease holder hands a backend server over to this process.
     Cede(Transfer),
-    /// A successor has taken over.
+    /// A successor confirmed that it has taken over a backend server.
     Ceded {
-        /// The successor.
+        /// The successor's host.
         by: id::Host,
-        /// The backend server.
+        /// The backend server that was handed over.
         backend: id::Backend,
     },
-    /// A sub-request that was passed on never left this process.
+    /// A sub-request that was to be forwarded never left this process.
     Returned {
         /// The host whose entry sent it.
         from: id::Host,
         /// The sub-request.
         sub: Sub,
     },
-    /// The process is to end: hand everything over, and answer when that is done.
+    /// The process shuts down: hand over all backend servers, then complete the channel.
     Leave(oneshot::Sender<()>),
 }
 
 impl Task {
-    /// Takes in what is said about leases.
-    pub(crate) async fn open_lease(&mut self, now: Time, mail: Mail) {
-        let effects = match mail {
-            Mail::Claims { from, sent, claims } => self.guard(now, from, sent, claims).await,
-            Mail::Verdicts {
+    /// Handles an input about leases.
+    pub(crate) async fn handle_lease_input(&mut self, now: Time, input: Input) {
+        let effects = match input {
+            Input::Claims { from, sent, claims } => {
+                self.answer_claims(now, from, sent, claims).await
+            }
+            Input::Verdicts {
                 from,
                 sent,
                 verdicts,
             } => self.tenure.granted(now, &from, sent, verdicts),
-            Mail::Release { from, released } => {
+            Input::Release { from, released } => {
                 let Peer { host, incarnation } = from;
                 self.tenure.released(now, &host, incarnation, &released);
                 Vec::new()
             }
-            Mail::Cede(transfer) => self.tenure.handed(now, transfer),
-            Mail::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
-            Mail::Returned { from, sub } => {
+            Input::Cede(transfer) => self.tenure.handed(now, transfer),
+            Input::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
+            Input::Returned { from, sub } => {
                 let message = Message::Result {
                     desk: sub.work.desk(),
                     id: sub.id,
@@ -93,30 +95,31 @@
                 self.peers.send(&from, message).await;
                 Vec::new()
             }
-            Mail::Leave(done) => {
-                self.board.event("lease", &self.me.host, "handing over");
-                self.leaving = Some(done);
+            Input::Leave(done) => {
+                self.board
+                    .event("lease", &self.local_peer.host, "handing over");
+                self.handover_done = Some(done);
                 self.tenure.leave(now)
             }
         };
-        self.keep(now, effects).await;
+        self.apply_lease_effects(now, effects).await;
     }
 
-    /// Answers claims as a guardian.
-    async fn guard(
+    /// Answers claims as a guardian of the claimed backend servers.
+    async fn answer_claims(
         &mut self,
         now: Time,
         from: Peer,
         sent: Time,
         claims: Vec<Claim>,
     ) -> Vec<Effect> {
-        let (verdicts, effects) = self.decide(now, &from, claims);
+        let (verdicts, effects) = self.decide_claims(now, &from, claims);
         let message = Message::Verdicts { sent, verdicts };
         self.peers.send(&from.host, message).await;
         effects
     }
 
-    fn decide(
+    fn decide_claims(
         &mut self,
         now: Time,
         from: &Peer,
@@ -130,17 +133,18 @@
         (answers.collect(), effects)
     }
 
-    /// Carries out what the leases want done, and what follows from it.
-    pub(crate) async fn keep(&mut self, now: Time, effects: Vec<Effect>) {
+    /// Applies the effects of lease handling, and the further effects that these produce.
+    pub(crate) async fn apply_lease_effects(&mut self, now: Time, effects: Vec<Effect>) {
         let mut queue = VecDeque::from(effects);
         while let Some(effect) = queue.pop_front() {
             match effect {
-                Effect::Claim { to, sent, claims } if to == self.me.host => {
-                    // Not by mail: a full mailbox of this very task would hold it up for good.
-                    let me = self.me.clone();
-                    let (verdicts, effects) = self.decide(now, &me, claims);
+                Effect::Claim { to, sent, claims } if to == self.local_peer.host => {
+                    // Decided directly, not by a message: with its input channel full, this task
+                    // would wait for itself forever.
+                    let local_peer = self.local_peer.clone();
+                    let (verdicts, effects) = self.decide_claims(now, &local_peer, claims);
                     queue.extend(effects);
-                    queue.extend(self.tenure.granted(now, &me.host, sent, verdicts));
+                    queue.extend(self.tenure.granted(now, &local_peer.host, sent, verdicts));
                 }
                 Effect::Claim { to, sent, claims } => {
                     let count = claims.len() as u64;
@@ -148,33 +152,33 @@
                     let message = Message::Claims { sent, claims };
                     self.peers.send(&to, message).await;
                 }
-                Effect::Release { to, released } if to == self.me.host => {
-                    let me = self.me.clone();
+                Effect::Release { to, released } if to == self.local_peer.host => {
+                    let local_peer = self.local_peer.clone();
                     self.tenure
-                        .released(now, &me.host, me.incarnation, &released);
+                        .released(now, &local_peer.host, local_peer.incarnation, &released);
                 }
                 Effect::Release { to, released } => {
                     self.peers.send(&to, Message::Release(released)).await;
                 }
                 Effect::Acquired { backend, transfer } => {
-                    self.acquired(now, backend, transfer).await;
+                    self.on_acquired(now, backend, transfer).await;
                 }
                 Effect::Confirm { to, backend } => {
                     self.peers.send(&to, Message::Ceded(backend)).await;
                 }
-                Effect::Changed(backend) => self.changed(now, backend).await,
+                Effect::Changed(backend) => self.update_hold(now, backend).await,
             }
         }
         self.hand_over(now).await;
         if self.tenure.is_empty()
-            && let Some(done) = self.leaving.take()
+            && let Some(done) = self.handover_done.take()
         {
-            // Who waits for it may have run out of patience.
+            // The send fails if the shutdown has timed out waiting for it.
             let _ = done.send(());
         }
     }
 
-    async fn acquired(&mut self, now: Time, backend: id::Backend, transfer: Option<Transfer>) {
+    async fn on_acquired(&mut self, now: Time, backend: id::Backend, transfer: Option<Transfer>) {
         let detail = match &transfer {
             Some(transfer) => format!("taken over from {}", transfer.from.host),
             None => "acquired".to_owned(),
@@ -185,24 +189,25 @@
             transfer,
         };
         self.handle(now, acquired).await;
-        self.changed(now, backend).await;
+        self.update_hold(now, backend).await;
     }
 
-    /// Tells the owner what it may do now.
-    async fn changed(&mut self, now: Time, backend: id::Backend) {
+    /// Passes the current hold on `backend` to the owner.
+    async fn update_hold(&mut self, now: Time, backend: id::Backend) {
         let hold = self.tenure.hold(now, &backend);
-        if matches!(hold, Hold::No(_)) && self.lost(&backend) {
+        if matches!(hold, Hold::No(_)) && self.has_state_for(&backend) {
             let detail = format!("no longer held: {hold:?}");
             self.board.event("lease", &backend, detail);
         }
         self.handle(now, Event::Hold { backend, hold }).await;
     }
 
-    /// Hands over what no request is under way for any more, or what has waited for long enough.
+    /// Hands over each backend server that is being ceded and has no request in flight, or whose
+    /// wait for them has timed out.
     pub(crate) async fn hand_over(&mut self, now: Time) {
         for (backend, overdue) in self.tenure.ceding(now) {
-            let standing = self.owner.standing(now, &backend);
-            if standing.in_flight > 0 && !overdue {
+            let status = self.owner.standing(now, &backend);
+            if status.in_flight > 0 && !overdue {
                 continue;
             }
             let Some((to, from)) = self.tenure.hand_over(now, &backend) else {
@@ -211,9 +216,9 @@
             let transfer = Transfer {
                 backend,
                 from,
-                limit: standing.limit,
-                in_flight: standing.in_flight,
-                left: standing.left,
+                limit: status.limit,
+                in_flight: status.in_flight,
+                left: status.left,
             };
             self.peers.send(&to, Message::Cede(transfer)).await;
         }
--- a/crates/lentilliftd/src/trace.rs
+++ b/crates/lentilliftd/src/trace.rs
@@ -1,4 +1,4 @@
-//! Starting the parts of a process, recorded or not.
+//! Creates the state machines of a process, optionally recording their decisions.
 
 use lentillift_core::id;
 use lentillift_settings::daemon::Settings;
@@ -10,7 +10,8 @@
 use std::path::Path;
 use tracing::warn;
 
-/// Starts a part whose random numbers start from `seed`, and its trace if a directory is given.
+/// Creates a state machine whose random generator is seeded with `seed`, and starts a trace of its
+/// decisions if a directory is given.
 pub(crate) fn start<C>(
     settings: &Settings,
     incarnation: id::Incarnation,
@@ -34,7 +35,7 @@
         let name = format!("{}-{:?}.jsonl", settings.host, C::PART);
         let path = directory.join(name.to_lowercase());
         Recorder::start(&path, &head)
-            .inspect_err(|error| warn!(%error, "no trace"))
+            .inspect_err(|error| warn!(%error, "cannot record a decision trace"))
             .ok()
     });
     Traced::new(C::start(&head), recorder)
