--- a/crates/lentilliftd/src/main.rs
+++ b/crates/lentilliftd/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one process of the system.
+//! Command line of the daemon: parses flags and settings, and runs one process of the query tier.
 
 #![forbid(unsafe_code)]
 
@@ -24,63 +24,64 @@
 use tracing::info;
 use tracing_subscriber::EnvFilter;
 
-/// Environment variable that names a directory for traces of the decisions of this process.
-const TRACES: &str = "LENTILLIFT_TRACE";
+/// Environment variable with the directory for traces of this process's decisions.
+const TRACE_VARIABLE: &str = "LENTILLIFT_TRACE";
 
-/// Worker threads for sockets and decisions.
-const WORKERS: usize = 2;
+/// Worker threads of the asynchronous runtime; blocking calls run on threads of their own.
+const WORKER_THREADS: usize = 2;
 
-/// Longest wait at the end for blocking calls that are still under way.
-const SHUTDOWN: Duration = Duration::from_secs(1);
+/// Longest wait at exit for blocking calls still in progress.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Exit code for settings or a command line that are wrong.
-const MISUSED: u8 = 2;
+/// Exit code for invalid settings or an invalid command line.
+const EXIT_USAGE: u8 = 2;
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 Usage: lentilliftd [--settings FILE] [OPTIONS]
 
-Runs one process of the query tier. Each setting may stand in FILE (JSON with comments) or be
-given as a flag; a flag wins. A port of 0 leaves the choice to the system; the first line on
-standard output tells the addresses in use. SIGTERM lets it finish what it has and end.";
+Runs one process of the query tier. Each setting may be given in FILE (JSON with comments) or as
+a flag; a flag takes precedence. Port 0 lets the operating system choose; the first line on
+standard output is a JSON object with the addresses in use. On SIGTERM the process finishes the
+requests in flight and exits.";
 
 const EXAMPLES: &str = "
 Examples:
   lentilliftd --settings lentilliftd.jsonc --check
-      Check the settings, name all faults at once, and exit.
+      Check the settings, report all errors at once, and exit.
   lentilliftd --settings lentilliftd.jsonc --host entry-3 --domain d2
-      One file for all hosts, with the values of this host as flags.
+      One file for all hosts, with host-specific values as flags.
   lentilliftd --settings lentilliftd.jsonc --log json
-      Log lines as JSON. RUST_LOG=debug shows more.
+      Write log lines as JSON. RUST_LOG=debug shows more of them.
 
 Environment:
-  RUST_LOG          which log lines are written, such as debug or warn
-  LENTILLIFT_TRACE  directory for traces of this process's decisions, to be replayed
+  RUST_LOG          log level or filter, such as debug or warn
+  LENTILLIFT_TRACE  directory for traces of this process's decisions, for replay
 
 Exit codes:
-  0  ended as asked, or the settings are right
-  1  it could not run
-  2  the settings or the command line are wrong
+  0  stopped on request, or the settings are valid
+  1  the process could not run
+  2  the settings or the command line are invalid
 ";
 
 fn main() -> ExitCode {
     let options = options();
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
-        Err(error) => return misused(&error),
+        Err(error) => return usage_error(&error),
     };
     if matches.opt_present("help") {
-        print!("{}{EXAMPLES}", options.usage(BRIEF));
+        print!("{}{EXAMPLES}", options.usage(USAGE));
         return ExitCode::SUCCESS;
     }
-    let start = match start(&matches) {
+    let start = match read_settings(&matches) {
         Ok(start) => start,
-        Err(error) => return misused(&error),
+        Err(error) => return usage_error(&error),
     };
     if matches.opt_present("check") {
-        println!("settings are right");
+        println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    log(start.log);
+    init_logging(start.log);
     match serve(start.settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -101,19 +102,19 @@
     options
 }
 
-fn misused<E>(error: &E) -> ExitCode
+fn usage_error<E>(error: &E) -> ExitCode
 where
     E: std::fmt::Display,
 {
     eprintln!("{error:#}");
     eprintln!("Try `lentilliftd --help`.");
-    ExitCode::from(MISUSED)
+    ExitCode::from(EXIT_USAGE)
 }
 
-fn start(matches: &Matches) -> anyhow::Result<Start> {
+fn read_settings(matches: &Matches) -> anyhow::Result<Start> {
     anyhow::ensure!(
         matches.free.is_empty(),
-        "found {:?}, right are flags only",
+        "unexpected arguments {:?}, only flags are accepted",
         matches.free
     );
     let mut flags = Map::new();
@@ -131,14 +132,14 @@
     Ok(daemon::resolve(file, &flags)?)
 }
 
-/// Writes log lines to standard error; `RUST_LOG` may ask for more or less.
-fn log(log: Log) {
+/// Sends log lines to standard error, from level `info` up unless `RUST_LOG` sets another filter.
+fn init_logging(format: Log) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
-    match log {
+    match format {
         Log::Human => builder.init(),
         Log::Json => builder.json().init(),
     }
@@ -146,17 +147,17 @@
 
 fn serve(settings: Settings) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
     runtime.block_on(run(settings))?;
-    runtime.shutdown_timeout(SHUTDOWN);
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     Ok(())
 }
 
 async fn run(settings: Settings) -> anyhow::Result<()> {
     let sockets = Sockets::open(&settings).await?;
-    // One line for scripts, since the system may have chosen the ports.
+    // Scripts read the addresses from this line, because the system may have chosen the ports.
     let listening = serde_json::json!({
         "caller": sockets.caller.local_addr()?,
         "node": sockets.node.local_addr()?,
@@ -164,7 +165,7 @@
     });
     println!("{listening}");
     let started = SystemTime::now().duration_since(UNIX_EPOCH)?;
-    let traces = std::env::var_os(TRACES).map(PathBuf::from);
+    let traces = std::env::var_os(TRACE_VARIABLE).map(PathBuf::from);
     let incarnation = started.as_nanos() as u64;
     let daemon = Daemon::start_traced(&settings, sockets, incarnation, traces.as_deref());
     info!(host = %settings.host, domain = %settings.domain, "started");
--- a/crates/lentilliftd/tests/command.rs
+++ b/crates/lentilliftd/tests/command.rs
@@ -1,8 +1,9 @@
-//! The daemon's command line, as a shell sees it.
+//! Exit codes and output of the daemon's command line.
 
 use std::process::Command;
 use std::process::Output;
 
+/// The example settings file at the root of the repository.
 const SETTINGS: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
     "/../../examples/lentilliftd.jsonc"
@@ -14,31 +15,31 @@
 }
 
 macro_rules! exits {
-    ($($name:ident: [$($argument:expr),*] with $code:literal, saying [$($text:literal),+];)+) => {$(
+    ($($name:ident: [$($argument:expr),*] with $code:literal, printing [$($expected:literal),+];)+) => {$(
         #[test]
         fn $name() {
             let output = run(&[$($argument),*]);
-            let said = [output.stdout, output.stderr].concat();
-            let said = String::from_utf8(said).expect("UTF-8");
-            assert_eq!(output.status.code(), Some($code), "{said}");
-            $(assert!(said.contains($text), "{said}");)+
+            let text = [output.stdout, output.stderr].concat();
+            let text = String::from_utf8(text).expect("UTF-8");
+            assert_eq!(output.status.code(), Some($code), "{text}");
+            $(assert!(text.contains($expected), "{text}");)+
         }
     )+};
 }
 
 exits! {
-    example_is_right: ["--settings", SETTINGS, "--check"] with 0, saying ["settings are right"];
-    help: ["--help"] with 0, saying ["--operator-address", "Examples:", "Exit codes:"];
-    unknown_flag: ["--hosts", "x"] with 2, saying ["hosts"];
-    stray_argument: ["file.jsonc"] with 2, saying ["right are flags only"];
-    missing_file: ["--settings", "/nonexistent", "--check"] with 2, saying ["read /nonexistent"];
-    nothing_given: ["--check"] with 2, saying ["host: found nothing", "platform_address: found nothing"];
-    wrong_flags: ["--settings", SETTINGS, "--check", "--log", "xml", "--node-address", "here"] with 2,
-        saying ["log: found \"xml\"", "node_address: found \"here\", right is an IP address"];
+    example_settings_are_valid: ["--settings", SETTINGS, "--check"] with 0, printing ["settings are valid"];
+    help: ["--help"] with 0, printing ["--operator-address", "Examples:", "Exit codes:"];
+    unknown_flag: ["--hosts", "x"] with 2, printing ["hosts"];
+    stray_argument: ["file.jsonc"] with 2, printing ["only flags are accepted"];
+    missing_file: ["--settings", "/nonexistent", "--check"] with 2, printing ["read /nonexistent"];
+    missing_settings: ["--check"] with 2, printing ["host: found nothing", "platform_address: found nothing"];
+    invalid_flag_values: ["--settings", SETTINGS, "--check", "--log", "xml", "--node-address", "here"] with 2,
+        printing ["log: found \"xml\"", "node_address: found \"here\", right is an IP address"];
 }
 
-/// A second process is started on a host with the addresses of the first. It names the address
-/// that is taken and ends, and the first goes on.
+/// A second process started with the addresses of a running one must exit and name the address that
+/// is in use; the first keeps running.
 #[test]
 fn address_in_use_is_named() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("port");
@@ -54,7 +55,7 @@
         "--operator-address",
         &address,
     ]);
-    let said = String::from_utf8(output.stderr).expect("UTF-8");
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains(&format!("listen {address}")), "{said}");
+    let text = String::from_utf8(output.stderr).expect("UTF-8");
+    assert_eq!(output.status.code(), Some(1), "{text}");
+    assert!(text.contains(&format!("listen {address}")), "{text}");
 }
