--- a/crates/lentilliftd/examples/spread.rs
+++ b/crates/lentilliftd/examples/spread.rs
@@ -1,4 +1,5 @@
-//! Measures how soon a revision is in force on nine processes, over real sockets on loopback.
+//! Measures how long a published revision takes to be in force on all of nine processes, over real
+//! sockets on loopback.
 
 use anyhow::Context;
 use lentillift_core::id;
@@ -15,16 +16,16 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Processes.
-const NODES: usize = 9;
+/// Processes in the fleet.
+const PROCESSES: usize = 9;
 
-/// Revisions of each kind.
+/// Revisions published of each kind.
 const ROUNDS: u64 = 20;
 
-/// Longest wait for anything.
-const LIMIT: Duration = Duration::from_secs(30);
+/// Upper bound on each wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two rounds.
+/// Pause between two rounds.
 const GAP: Duration = Duration::from_millis(300);
 
 /// A running fleet.
@@ -45,7 +46,7 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut daemons = Vec::new();
         let mut hosts = serde_json::Map::new();
-        for number in 0..NODES {
+        for number in 0..PROCESSES {
             let settings = Settings {
                 host: host(number),
                 domain: domain(number),
@@ -72,33 +73,39 @@
         };
         let since = Instant::now();
         while !fleet.daemons.iter().all(|daemon| daemon.board.is_ready()) {
-            anyhow::ensure!(since.elapsed() < LIMIT, "the fleet did not get ready");
+            anyhow::ensure!(
+                since.elapsed() < WAIT_TIMEOUT,
+                "the fleet did not become ready"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        println!("{NODES} processes ready after {:?}", since.elapsed());
-        fleet.until(|view| view.alive.len() == NODES).await?;
-        println!("all know each other after {:?}", since.elapsed());
+        println!("{PROCESSES} processes ready after {:?}", since.elapsed());
+        fleet
+            .wait_for_views(|view| view.alive.len() == PROCESSES)
+            .await?;
+        println!("all processes see each other after {:?}", since.elapsed());
         Ok(fleet)
     }
 
-    /// Waits until `done` holds of every process's view; returns how long each took.
-    async fn until<F>(&mut self, done: F) -> anyhow::Result<Vec<Duration>>
+    /// Waits until `done` is true of every process's view; returns how long each took.
+    async fn wait_for_views<F>(&mut self, done: F) -> anyhow::Result<Vec<Duration>>
     where
         F: Fn(&View) -> bool,
     {
         let since = Instant::now();
         let mut times = Vec::new();
         for daemon in &mut self.daemons {
-            let came = daemon.view.wait_for(|view| done(view));
-            let _ = tokio::time::timeout(LIMIT, came)
+            let matching = daemon.view.wait_for(|view| done(view));
+            let _ = tokio::time::timeout(WAIT_TIMEOUT, matching)
                 .await
-                .context("not in force")??;
+                .context("revision not in force before the timeout")??;
             times.push(since.elapsed());
         }
         Ok(times)
     }
 
-    /// Publishes values of one kind again and again, and prints how soon they were in force.
+    /// Publishes [`ROUNDS`] values of one kind and prints how long each took to be in force on all
+    /// processes.
     async fn measure<P, D>(&mut self, name: &str, publish: P, done: D) -> anyhow::Result<()>
     where
         P: Fn(u64) -> (&'static str, Vec<u8>),
@@ -110,7 +117,7 @@
             let revision = self.revision;
             let (key, body) = publish(revision);
             self.platform.publish_bytes(key, body);
-            let times = self.until(|view| done(revision, view)).await?;
+            let times = self.wait_for_views(|view| done(revision, view)).await?;
             slowest.push(times.into_iter().max().unwrap_or_default());
             tokio::time::sleep(GAP).await;
         }
@@ -205,7 +212,9 @@
     let calls = fleet.platform.calls();
     tokio::time::sleep(Duration::from_secs(10)).await;
     let calls = (fleet.platform.calls() - calls) as f64 / 10.0;
-    println!("{calls} calls a second to the service from all together, while nothing changes");
+    println!(
+        "{calls} calls per second to the configuration service from all processes, with no changes"
+    );
     for daemon in fleet.daemons {
         daemon.stop().await;
     }
--- a/crates/lentilliftd/tests/catalog.rs
+++ b/crates/lentilliftd/tests/catalog.rs
@@ -1,14 +1,14 @@
-//! Every series that the sources name has a description for `/metrics`.
+//! Every metric named in the sources has a description for `/metrics`.
 
 use lentillift_operator::catalog;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// What series' names begin with.
-const PREFIX: &str = "\"lentillift_";
+/// Start of a string literal that holds a metric name.
+const METRIC_PREFIX: &str = "\"lentillift_";
 
-/// Collects the names of series in all sources below `directory`.
+/// Adds the metric names in all source files below `directory` to `names`.
 fn collect(directory: &Path, names: &mut BTreeSet<String>) {
     for entry in fs::read_dir(directory).expect("directory") {
         let path = entry.expect("entry").path();
@@ -16,9 +16,9 @@
             collect(&path, names);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             let text = fs::read_to_string(&path).expect("source");
-            let quoted = text.split(PREFIX).skip(1);
+            let quoted = text.split(METRIC_PREFIX).skip(1);
             let ends = quoted.filter_map(|rest| rest.split('"').next());
-            // Paths of modules stand in quotes too.
+            // Module paths also occur in string literals.
             let ends = ends.filter(|end| !end.contains(':'));
             names.extend(ends.map(|end| format!("lentillift_{end}")));
         }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_series_is_described() {
+fn every_metric_has_a_description() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut names = BTreeSet::new();
     for entry in fs::read_dir(crates).expect("crates") {
--- a/crates/lentilliftd/tests/process.rs
+++ b/crates/lentilliftd/tests/process.rs
@@ -1,4 +1,4 @@
-//! Real processes that are ended, killed and paused while callers ask.
+//! Real processes that are restarted, killed and paused under load.
 
 use lentillift_core::id;
 use lentillift_standin::backend::Backend;
@@ -28,11 +28,13 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
+/// Processes, one in each failure domain.
 const HOSTS: usize = 3;
+/// Shards of the service, each with two replicas.
 const SHARDS: usize = 6;
 
-/// Longest wait for what must come about; nothing is proved by it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for a condition; a safeguard against hanging, not a bound under test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Process {
     child: Child,
@@ -42,7 +44,7 @@
 }
 
 impl Process {
-    /// Starts a process; `node` is where the published list says that it listens.
+    /// Starts a process that listens for its peers at `node`, its address in the published host list.
     fn start(number: usize, node: SocketAddr, platform: SocketAddr) -> Self {
         let domain = ["a", "b", "c"][number];
         let mut child = Command::new(env!("CARGO_BIN_EXE_lentilliftd"))
@@ -88,33 +90,36 @@
         .is_ok()
 }
 
-/// What callers got, as a balancer that looks at readiness routes them.
+/// Sends queries as callers behind a load balancer with readiness checks, and counts the answers.
 #[derive(Default)]
-struct Tally {
+struct Client {
     stop: AtomicBool,
-    /// Operators' and callers' addresses of the processes that callers may be sent to.
+    /// Operator and caller addresses of the processes behind the load balancer.
     targets: Mutex<Vec<(SocketAddr, SocketAddr)>>,
+    /// Answers with full coverage.
     full: AtomicU64,
+    /// Answers that lack at least one shard.
     partial: AtomicU64,
-    cut: Mutex<Vec<String>>,
+    /// Requests without an answer, or with a status other than 200.
+    failed: Mutex<Vec<String>>,
 }
 
-impl Tally {
-    fn ask_on(self: &Arc<Self>) -> JoinHandle<()> {
-        let tally = self.clone();
+impl Client {
+    fn spawn_query_loop(self: &Arc<Self>) -> JoinHandle<()> {
+        let client = self.clone();
         std::thread::spawn(move || {
-            while !tally.stop.load(Ordering::Relaxed) {
-                let targets = tally.targets.lock().expect("targets").clone();
+            while !client.stop.load(Ordering::Relaxed) {
+                let targets = client.targets.lock().expect("targets").clone();
                 for (operator, caller) in targets {
                     if is_ready(operator) {
-                        tally.ask(caller);
+                        client.query(caller);
                     }
                 }
             }
         })
     }
 
-    fn ask(&self, caller: SocketAddr) {
+    fn query(&self, caller: SocketAddr) {
         let agent: ureq::Agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .build()
@@ -134,7 +139,11 @@
                 let counter = if full { &self.full } else { &self.partial };
                 counter.fetch_add(1, Ordering::Relaxed);
             }
-            other => self.cut.lock().expect("cut").push(format!("{other:?}")),
+            other => self
+                .failed
+                .lock()
+                .expect("failed")
+                .push(format!("{other:?}")),
         }
     }
 }
@@ -143,7 +152,7 @@
     platform: SocketAddr,
     processes: Vec<Process>,
     backends: BTreeMap<id::Backend, Backend>,
-    tally: Arc<Tally>,
+    client: Arc<Client>,
     _runtime: Runtime,
     _stop: watch::Sender<bool>,
 }
@@ -196,22 +205,22 @@
             platform,
             processes,
             backends,
-            tally: Arc::default(),
+            client: Arc::default(),
             _runtime: runtime,
             _stop: stop,
         };
         wait(|| fleet.processes.iter().all(Process::is_ready));
-        fleet.route();
+        fleet.update_targets();
         fleet
     }
 
-    /// Tells callers where the processes are.
-    fn route(&self) {
+    /// Updates the load balancer's list of processes.
+    fn update_targets(&self) {
         let targets = self.processes.iter().map(|p| (p.operator, p.caller));
-        *self.tally.targets.lock().expect("targets") = targets.collect();
+        *self.client.targets.lock().expect("targets") = targets.collect();
     }
 
-    /// Ends a process as an operator does, impatiently, and starts its host anew.
+    /// Stops a process with two SIGTERMs, as an impatient operator does, and starts it again.
     fn restart(&mut self, number: usize) {
         let process = &mut self.processes[number];
         process.signal(Signal::SIGTERM);
@@ -220,16 +229,16 @@
         assert_eq!(status.code(), Some(0));
         self.processes[number] = Process::start(number, process.node, self.platform);
         wait(|| self.processes[number].is_ready());
-        self.route();
+        self.update_targets();
     }
 
-    /// Waits until callers have had `count` more full answers.
-    fn serve(&self, count: u64) {
-        let goal = self.tally.full.load(Ordering::Relaxed) + count;
-        wait(|| self.tally.full.load(Ordering::Relaxed) >= goal);
+    /// Waits until callers have received `count` more full answers.
+    fn wait_for_full_answers(&self, count: u64) {
+        let goal = self.client.full.load(Ordering::Relaxed) + count;
+        wait(|| self.client.full.load(Ordering::Relaxed) >= goal);
     }
 
-    /// No backend server has ever had more requests than it bears.
+    /// Asserts that no backend server has ever had more requests in flight than its limit.
     fn assert_within_limits(&self) {
         for (name, backend) in &self.backends {
             assert_eq!(
@@ -241,22 +250,28 @@
         }
     }
 
-    fn roll(mut self, restarts: usize) {
-        let callers: Vec<_> = (0..4).map(|_| self.tally.ask_on()).collect();
-        self.serve(100);
+    /// Restarts one process after another under load and asserts that no request fails.
+    fn rolling_restarts(mut self, restarts: usize) {
+        let callers: Vec<_> = (0..4).map(|_| self.client.spawn_query_loop()).collect();
+        self.wait_for_full_answers(100);
         for number in 0..restarts {
             self.restart(number % HOSTS);
-            self.serve(20);
+            self.wait_for_full_answers(20);
         }
-        self.tally.stop.store(true, Ordering::Relaxed);
+        self.client.stop.store(true, Ordering::Relaxed);
         for caller in callers {
             caller.join().expect("a caller");
         }
-        let full = self.tally.full.load(Ordering::Relaxed);
-        let partial = self.tally.partial.load(Ordering::Relaxed);
+        let full = self.client.full.load(Ordering::Relaxed);
+        let partial = self.client.partial.load(Ordering::Relaxed);
         println!("{restarts} restarts: {full} full answers, {partial} partial");
-        let cut = self.tally.cut.lock().expect("cut").clone();
-        assert!(cut.is_empty(), "{} cut: {:?}", cut.len(), cut.first());
+        let failed = self.client.failed.lock().expect("failed").clone();
+        assert!(
+            failed.is_empty(),
+            "{} failed: {:?}",
+            failed.len(),
+            failed.first()
+        );
         self.assert_within_limits();
     }
 }
@@ -264,7 +279,8 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
-            // It may have ended, and a test that failed has its own words for it.
+            // Errors are ignored: the process may have exited already, and a failed test reports its
+            // own message.
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
@@ -282,61 +298,65 @@
     })
 }
 
-fn wait(until: impl Fn() -> bool) {
+fn wait(condition: impl Fn() -> bool) {
     let since = Instant::now();
-    while !until() {
-        assert!(since.elapsed() < PATIENCE, "it did not come about");
+    while !condition() {
+        assert!(
+            since.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for a condition"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Operators put a new version on one host after the other while callers ask. A caller whose
-/// request is cut would see a broken connection, and might file a notice twice.
+/// A rolling update restarts one host after another under load. A caller whose request is
+/// interrupted would see a broken connection and might file a notice twice.
 #[test]
 fn rolling_restarts_cut_no_request() {
-    Fleet::start().roll(3);
+    Fleet::start().rolling_restarts(3);
 }
 
 #[test]
 #[ignore = "takes minutes: cargo test --release -p lentilliftd --test process -- --ignored"]
 fn twenty_rolling_restarts_cut_no_request() {
-    Fleet::start().roll(20);
+    Fleet::start().rolling_restarts(20);
 }
 
-/// A host loses power while it owns backend servers. Callers get partial answers until the next
-/// guardian takes over, and no backend server gets work from both.
+/// A host loses power while it owns backend servers. Callers may get partial answers until the next
+/// guardian takes over; no backend server may receive requests from both owners at once.
 #[test]
 fn a_killed_owner_is_replaced_within_limits() {
     let mut fleet = Fleet::start();
-    let callers: Vec<_> = (0..2).map(|_| fleet.tally.ask_on()).collect();
-    fleet.serve(50);
+    let callers: Vec<_> = (0..2).map(|_| fleet.client.spawn_query_loop()).collect();
+    fleet.wait_for_full_answers(50);
     let since = Instant::now();
     fleet.processes[0].child.kill().expect("a process");
     fleet.processes[0].child.wait().expect("its end");
-    fleet.tally.targets.lock().expect("targets").remove(0);
-    fleet.serve(200);
+    fleet.client.targets.lock().expect("targets").remove(0);
+    fleet.wait_for_full_answers(200);
     println!("200 full answers {:?} after the kill", since.elapsed());
-    fleet.tally.stop.store(true, Ordering::Relaxed);
+    fleet.client.stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.join().expect("a caller");
     }
-    println!("partial: {}", fleet.tally.partial.load(Ordering::Relaxed));
+    println!("partial: {}", fleet.client.partial.load(Ordering::Relaxed));
     fleet.assert_within_limits();
 }
 
-/// A host stands still for longer than its leases, as a virtual machine that is moved, and wakes
-/// up in the belief that it owns what others own by now. Work that it sent would come on top.
+/// A host is paused for longer than its leases, as when a virtual machine is migrated, and resumes
+/// as if it still owned backend servers that others own by then. Requests that it sent would exceed
+/// the limits of these servers.
 #[test]
 fn a_paused_owner_sends_nothing_on_its_old_leases() {
     let fleet = Fleet::start();
-    let callers: Vec<_> = (0..2).map(|_| fleet.tally.ask_on()).collect();
-    fleet.serve(50);
+    let callers: Vec<_> = (0..2).map(|_| fleet.client.spawn_query_loop()).collect();
+    fleet.wait_for_full_answers(50);
     fleet.processes[0].signal(Signal::SIGSTOP);
     let paused = Instant::now();
     wait(|| paused.elapsed() > Duration::from_secs(5));
     fleet.processes[0].signal(Signal::SIGCONT);
-    fleet.serve(200);
-    fleet.tally.stop.store(true, Ordering::Relaxed);
+    fleet.wait_for_full_answers(200);
+    fleet.client.stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.join().expect("a caller");
     }
--- a/crates/lentilliftd/tests/truth.rs
+++ b/crates/lentilliftd/tests/truth.rs
@@ -1,4 +1,5 @@
-//! Two real processes on loopback: what they decide can be replayed, and what nobody waits for ends.
+//! Two processes on loopback: their traces replay to the same decisions, abandoned queries are
+//! cancelled, and a process that stops hands over request outcomes.
 
 use lentillift_core::id;
 use lentillift_settings::daemon::Settings;
@@ -22,10 +23,11 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
+/// Shards of the search service, each with one replica.
 const SHARDS: usize = 3;
 
-/// Longest wait for what must come about; nothing is proved by it.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a condition; a safeguard against hanging, not a bound under test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Fleet {
     runtime: Runtime,
@@ -50,12 +52,13 @@
             traces,
             _stop: stop,
         };
-        fleet.fill(behavior, &stopped);
+        fleet.start_all(behavior, &stopped);
         wait(|| fleet.daemons.iter().all(|daemon| daemon.board.is_ready()));
         fleet
     }
 
-    fn fill(&mut self, behavior: &Behavior, stopped: &watch::Receiver<bool>) {
+    /// Starts the configuration service, the backend servers and two processes.
+    fn start_all(&mut self, behavior: &Behavior, stopped: &watch::Receiver<bool>) {
         let platform = Platform::default();
         let listener = self.listen();
         let platform_address = listener.local_addr().expect("an address");
@@ -124,7 +127,7 @@
         listener.expect("a port")
     }
 
-    /// Posts a body and returns the outcome that the answer states, and its body.
+    /// Posts a body and returns the answer's `x-outcome` header and its body.
     fn post(&self, entry: usize, path: &str, key: &str, body: &str) -> (String, Value) {
         let agent = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -145,7 +148,7 @@
         (outcome, serde_json::from_str(&body).expect("JSON"))
     }
 
-    /// Stops all processes and returns the text of each trace.
+    /// Stops all processes and returns the path and the text of each trace.
     fn stop(self) -> Vec<(String, String)> {
         for daemon in self.daemons {
             self.runtime.block_on(daemon.stop());
@@ -162,7 +165,7 @@
     let files = files.map(|file| file.expect("a file").path());
     let read = |path: PathBuf| {
         let text = std::fs::read_to_string(&path).expect("text");
-        // A line that is still being written doesn't count.
+        // Ignores a last line that is still being written.
         let whole = text.rfind('\n').map_or(0, |end| end + 1);
         (path.display().to_string(), text[..whole].to_owned())
     };
@@ -182,16 +185,19 @@
     })
 }
 
-fn wait(until: impl Fn() -> bool) {
+fn wait(condition: impl Fn() -> bool) {
     let since = Instant::now();
-    while !until() {
-        assert!(since.elapsed() < PATIENCE, "it did not come about");
+    while !condition() {
+        assert!(
+            since.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for a condition"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An operator wants to know why an answer came out as it did, and replays what a process has
-/// recorded. A replay that decides otherwise would explain something that did not happen.
+/// Operators replay a recorded trace to find out why an answer came out as it did. A replay that
+/// decides differently would explain something that did not happen.
 #[test]
 fn a_recorded_run_replays_to_the_same_decisions() {
     let fleet = Fleet::start("replay", &Behavior::default());
@@ -223,10 +229,10 @@
     }
 }
 
-/// A caller closes the page while the search runs. Its backend servers must not go on with work
-/// that nobody waits for.
+/// A caller disconnects while its search runs. The backend servers must not continue work whose
+/// result nobody waits for.
 #[test]
-fn a_caller_that_goes_away_cancels_down_to_the_backend_servers() {
+fn a_callers_disconnect_cancels_requests_at_the_backend_servers() {
     let slow = Behavior {
         latency: Duration::from_secs(4),
         ..Behavior::default()
@@ -249,10 +255,10 @@
     std::fs::remove_dir_all(&fleet.traces).expect("remove");
 }
 
-/// A host is replaced after a notice was filed by it, and the caller never got the reply. By another
-/// host and with the same id it must learn that the notice was filed, and not file it again.
+/// A host is replaced after it filed a notice whose reply never reached the caller. A retry with the
+/// same id at another host must report the notice as filed and not file it again.
 #[test]
-fn a_host_that_ends_hands_over_the_outcomes_it_remembers() {
+fn a_stopping_host_hands_over_its_stored_outcomes() {
     let mut fleet = Fleet::start("hand-over", &Behavior::default());
     wait(|| fleet.post(0, "names/query", "", "{}").0 == "done");
     let (_, issued) = fleet.post(0, "filing/ids", "", "");
