--- a/crates/lentillift-node/src/hub.rs
+++ b/crates/lentillift-node/src/hub.rs
@@ -1,4 +1,4 @@
-//! All connections to other processes.
+//! The hub: the task that owns the links to all other processes.
 
 use crate::link;
 use crate::link::Link;
@@ -16,142 +16,150 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// Messages that wait for one peer at most; what comes beyond is undelivered.
-const QUEUE: usize = 8192;
+/// Capacity of the queue for one peer, in messages; a message that finds it full is returned as
+/// undelivered.
+const LINK_QUEUE_CAPACITY: usize = 8192;
 
-/// Messages that wait for the hub at most.
-const COMMANDS: usize = 8192;
+/// Capacity of the hub's command queue.
+const COMMAND_QUEUE_CAPACITY: usize = 8192;
 
-/// Connections that may be about to exchange names at a time.
-const GREETINGS: usize = 256;
+/// Most incoming connections that may be in the handshake at a time.
+const MAX_HANDSHAKES: usize = 256;
 
 /// Pause after a failed `accept`, for example when the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the hub tells the rest of the process.
+/// Events that the hub reports to the rest of the process.
 #[derive(Debug)]
 pub enum Inbound {
     /// A peer sent messages.
     Received {
         /// The peer.
         peer: Peer,
-        /// What it sent, in its order.
+        /// The messages, in the order in which they were sent.
         messages: Vec<Message>,
     },
-    /// A message certainly never left this process.
+    /// A message could not be sent; it certainly never left this process.
     Undelivered {
-        /// Whom it was for.
+        /// The intended recipient.
         to: id::Host,
         /// The message.
         message: Message,
     },
-    /// The link to a peer ended; what was sent to it lately may or may not have arrived.
+    /// The link to a peer closed; messages sent to it recently may or may not have arrived.
     Down {
         /// The peer's host.
         host: id::Host,
     },
 }
 
-/// What the hub is told.
+/// Commands to the hub, from [`Handle`] and from the tasks of the links.
 #[derive(Debug)]
 enum Command {
+    /// Send a message, over a new link if there is none.
     Send {
         to: id::Host,
         address: SocketAddr,
         message: Message,
     },
+    /// A peer has opened a link.
     Accepted(Link),
+    /// The handshake of the link with this number is complete.
     Opened(Peer, u64),
+    /// The link with this number has ended.
     Ended(id::Host, u64),
+    /// Membership reports that the process has ended.
     Lost(Peer),
 }
 
-/// A way to send messages to other processes.
+/// A handle for sending messages to other processes.
 #[derive(Debug, Clone)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
 }
 
 impl Handle {
-    /// Sends a message; what can't be sent comes back as [`Inbound::Undelivered`].
+    /// Sends a message; one that cannot be sent is returned as [`Inbound::Undelivered`].
     pub async fn send(&self, to: id::Host, address: SocketAddr, message: Message) {
         let command = Command::Send {
             to,
             address,
             message,
         };
-        // The hub ends only with the process.
+        // Cannot fail while the process runs: the hub never stops before it.
         let _ = self.commands.send(command).await;
     }
 
-    /// Gives up the link to a process that is held to be over.
+    /// Closes the link to a process that is gone, dead or replaced by a new incarnation.
     ///
     /// A host that loses power closes no connection. Messages for it, and for the process that takes
-    /// its name at another address, would go into the old connection until TCP gives up after many
-    /// minutes. What was sent on it is reported by [`Inbound::Down`].
-    pub async fn lose(&self, peer: Peer) {
+    /// over its name at another address, would be written to the old connection until TCP times out
+    /// after many minutes. For messages already sent on it the hub reports [`Inbound::Down`].
+    pub async fn disconnect(&self, peer: Peer) {
         let _ = self.commands.send(Command::Lost(peer)).await;
     }
 }
 
 /// A link that is open or being opened.
 #[derive(Debug)]
-struct Slot {
-    /// Tells this link from a later one to the same host.
+struct LinkEntry {
+    /// Distinguishes this link from a later one to the same host.
     number: u64,
     queue: mpsc::Sender<Message>,
-    /// Incarnation of the process at the other end, once names have been exchanged.
+    /// Incarnation of the process at the other end, once the handshake is complete.
     incarnation: Option<id::Incarnation>,
-    /// The task that carries the messages.
+    /// The task that runs the link.
     task: Option<AbortHandle>,
 }
 
-/// The task that owns the list of links.
+/// State of the hub task: the links by host.
 #[derive(Debug)]
 struct Hub {
-    me: Peer,
-    links: HashMap<id::Host, Slot>,
-    next: u64,
+    local_peer: Peer,
+    links: HashMap<id::Host, LinkEntry>,
+    /// Number of the link registered last.
+    last_number: u64,
     commands: mpsc::Sender<Command>,
     inbound: mpsc::Sender<Inbound>,
 }
 
 /// Starts the hub and its listener.
-pub fn spawn(me: Peer, listener: TcpListener, inbound: mpsc::Sender<Inbound>) -> Handle {
-    let (commands, queue) = mpsc::channel(COMMANDS);
+pub fn spawn(local_peer: Peer, listener: TcpListener, inbound: mpsc::Sender<Inbound>) -> Handle {
+    let (commands, queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let hub = Hub {
-        me: me.clone(),
+        local_peer: local_peer.clone(),
         links: HashMap::new(),
-        next: 0,
+        last_number: 0,
         commands: commands.clone(),
         inbound,
     };
-    tokio::spawn(listen(me, listener, commands.clone()));
+    tokio::spawn(listen(local_peer, listener, commands.clone()));
     tokio::spawn(hub.run(queue));
     Handle { commands }
 }
 
-/// Takes connections; only so many at a time may be about to exchange names.
+/// Accepts connections, with at most [`MAX_HANDSHAKES`] in the handshake at a time.
 ///
-/// Without the bound, connections that say nothing would pile up until the process is out of file
-/// descriptors and can reach no backend server either. Each gives its place back in time.
-async fn listen(me: Peer, listener: TcpListener, commands: mpsc::Sender<Command>) {
-    let greetings = Arc::new(Semaphore::new(GREETINGS));
-    while let Ok(permit) = greetings.clone().acquire_owned().await {
+/// Without the limit, connections that send nothing would accumulate until the process is out of
+/// file descriptors and can no longer reach backend servers either. The handshake timeout frees the
+/// place of each.
+async fn listen(local_peer: Peer, listener: TcpListener, commands: mpsc::Sender<Command>) {
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
+    while let Ok(permit) = handshakes.clone().acquire_owned().await {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        let greeting = greet(me.clone(), stream, commands.clone());
+        let handshake = accept_link(local_peer.clone(), stream, commands.clone());
         tokio::spawn(async move {
-            greeting.await;
+            handshake.await;
             drop(permit);
         });
     }
 }
 
-async fn greet(me: Peer, stream: TcpStream, commands: mpsc::Sender<Command>) {
-    if let Ok(link) = link::accept(&me, stream).await {
+async fn accept_link(local_peer: Peer, stream: TcpStream, commands: mpsc::Sender<Command>) {
+    if let Ok(link) = link::accept(&local_peer, stream).await {
         let _ = commands.send(Command::Accepted(link)).await;
     }
 }
@@ -165,10 +173,10 @@
                     address,
                     message,
                 } => self.send(to, address, message).await,
-                Command::Accepted(link) => self.accepted(link),
-                Command::Opened(peer, number) => self.opened(peer, number),
-                Command::Ended(host, number) => self.ended(host, number).await,
-                Command::Lost(peer) => self.lost(peer).await,
+                Command::Accepted(link) => self.handle_accepted(link),
+                Command::Opened(peer, number) => self.handle_opened(peer, number),
+                Command::Ended(host, number) => self.handle_ended(host, number).await,
+                Command::Lost(peer) => self.handle_lost(peer).await,
             }
         }
     }
@@ -176,9 +184,9 @@
     async fn send(&mut self, to: id::Host, address: SocketAddr, message: Message) {
         if !self.links.contains_key(&to) {
             let messages = self.register(&to);
-            let number = self.next;
-            let task = tokio::spawn(outgoing(
-                self.me.clone(),
+            let number = self.last_number;
+            let task = tokio::spawn(run_outgoing(
+                self.local_peer.clone(),
                 to.clone(),
                 address,
                 number,
@@ -186,12 +194,12 @@
                 self.inbound.clone(),
                 self.commands.clone(),
             ));
-            self.carry(&to, task.abort_handle());
+            self.set_task(&to, task.abort_handle());
         }
-        let Some(slot) = self.links.get(&to) else {
+        let Some(entry) = self.links.get(&to) else {
             return;
         };
-        if let Err(e) = slot.queue.try_send(message) {
+        if let Err(e) = entry.queue.try_send(message) {
             let message = e.into_inner();
             let _ = self
                 .inbound
@@ -200,74 +208,74 @@
         }
     }
 
-    /// Makes a queue for a new link to `host`.
+    /// Registers a new link to `host` and returns the receiving end of its queue.
     fn register(&mut self, host: &id::Host) -> mpsc::Receiver<Message> {
-        let (queue, messages) = mpsc::channel(QUEUE);
-        self.next += 1;
-        let slot = Slot {
-            number: self.next,
+        let (queue, messages) = mpsc::channel(LINK_QUEUE_CAPACITY);
+        self.last_number += 1;
+        let entry = LinkEntry {
+            number: self.last_number,
             queue,
             incarnation: None,
             task: None,
         };
-        self.links.insert(host.clone(), slot);
+        self.links.insert(host.clone(), entry);
         messages
     }
 
-    fn accepted(&mut self, link: Link) {
+    fn handle_accepted(&mut self, link: Link) {
         let peer = link.peer.clone();
         let host = peer.host.clone();
-        let known = self.links.contains_key(&host);
-        // With a link of our own at hand, this one only receives: its queue stays without a sender.
-        let messages = if known {
+        let has_link = self.links.contains_key(&host);
+        // If a link to this host exists already, this one only receives and gets no queue.
+        let messages = if has_link {
             None
         } else {
             Some(self.register(&host))
         };
-        let number = self.next;
-        let task = tokio::spawn(incoming(
+        let number = self.last_number;
+        let task = tokio::spawn(run_incoming(
             link,
             number,
             messages,
             self.inbound.clone(),
             self.commands.clone(),
         ));
-        if !known {
-            self.carry(&host, task.abort_handle());
-            self.opened(peer, number);
+        if !has_link {
+            self.set_task(&host, task.abort_handle());
+            self.handle_opened(peer, number);
         }
     }
 
-    fn carry(&mut self, host: &id::Host, task: AbortHandle) {
-        if let Some(slot) = self.links.get_mut(host) {
-            slot.task = Some(task);
+    fn set_task(&mut self, host: &id::Host, task: AbortHandle) {
+        if let Some(entry) = self.links.get_mut(host) {
+            entry.task = Some(task);
         }
     }
 
-    fn opened(&mut self, peer: Peer, number: u64) {
-        if let Some(slot) = self.links.get_mut(&peer.host)
-            && slot.number == number
+    fn handle_opened(&mut self, peer: Peer, number: u64) {
+        if let Some(entry) = self.links.get_mut(&peer.host)
+            && entry.number == number
         {
-            slot.incarnation = Some(peer.incarnation);
+            entry.incarnation = Some(peer.incarnation);
         }
     }
 
-    async fn lost(&mut self, peer: Peer) {
-        let slot = self.links.get(&peer.host);
-        if slot.is_none_or(|slot| slot.incarnation != Some(peer.incarnation)) {
+    async fn handle_lost(&mut self, peer: Peer) {
+        let entry = self.links.get(&peer.host);
+        if entry.is_none_or(|entry| entry.incarnation != Some(peer.incarnation)) {
             return;
         }
-        if let Some(task) = self.links.remove(&peer.host).and_then(|slot| slot.task) {
+        if let Some(task) = self.links.remove(&peer.host).and_then(|entry| entry.task) {
             task.abort();
         }
         let _ = self.inbound.send(Inbound::Down { host: peer.host }).await;
     }
 
-    async fn ended(&mut self, host: id::Host, number: u64) {
+    async fn handle_ended(&mut self, host: id::Host, number: u64) {
         if self
             .links
             .get(&host)
-            .is_some_and(|slot| slot.number == number)
+            .is_some_and(|entry| entry.number == number)
         {
             self.links.remove(&host);
             let _ = self.inbound.send(Inbound::Down { host }).await;
@@ -275,9 +283,9 @@
     }
 }
 
-/// Opens a link and carries messages over it.
-async fn outgoing(
-    me: Peer,
+/// Opens a link to a peer and transfers messages over it.
+async fn run_outgoing(
+    local_peer: Peer,
     host: id::Host,
     address: SocketAddr,
     number: u64,
@@ -285,7 +293,7 @@
     inbound: mpsc::Sender<Inbound>,
     commands: mpsc::Sender<Command>,
 ) {
-    let ended = match link::dial(&me, address).await {
+    let result = match link::dial(&local_peer, address).await {
         Ok(link) if link.peer.host == host => {
             let opened = Command::Opened(link.peer.clone(), number);
             let _ = commands.send(opened).await;
@@ -298,14 +306,14 @@
         )),
         Err(error) => Err(error),
     };
-    if let Err(error) = ended {
-        info!(%host, %error, "link ended");
+    if let Err(error) = result {
+        info!(%host, %error, "link closed");
     }
-    return_rest(host, number, messages, inbound, commands).await;
+    return_unsent(host, number, messages, inbound, commands).await;
 }
 
-/// Carries messages over a link that a peer has opened.
-async fn incoming(
+/// Transfers messages over a link that a peer has opened.
+async fn run_incoming(
     link: Link,
     number: u64,
     messages: Option<mpsc::Receiver<Message>>,
@@ -319,13 +327,13 @@
         return;
     };
     if let Err(error) = link.run(&mut messages, &inbound).await {
-        info!(%host, %error, "link ended");
+        info!(%host, %error, "link closed");
     }
-    return_rest(host, number, messages, inbound, commands).await;
+    return_unsent(host, number, messages, inbound, commands).await;
 }
 
-/// Gives back the messages that were not sent before a link ended.
-async fn return_rest(
+/// Reports a link as ended and returns the messages that were not sent on it.
+async fn return_unsent(
     host: id::Host,
     number: u64,
     mut messages: mpsc::Receiver<Message>,
--- a/crates/lentillift-node/src/link.rs
+++ b/crates/lentillift-node/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to one other process.
+//! A link: one connection to another process, over which messages go both ways.
 
 use crate::frame;
 use crate::hub::Inbound;
@@ -20,49 +20,54 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Messages that go into one frame at most.
-const BATCH: usize = 256;
+/// Most messages in one frame.
+const MAX_BATCH_MESSAGES: usize = 256;
 
-/// Bytes that a peer may send before they are read.
-const WINDOW: u32 = 1024 * 1024;
+/// Flow control window: bytes that a peer may send before they are read.
+const WINDOW_BYTES: u32 = 1024 * 1024;
 
-/// Longest time to open a connection and exchange names.
+/// Timeout for opening a connection, including the handshake in which both sides name themselves.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header that carries a process's host name.
-const HOST: &str = "x-host";
+const HOST_HEADER: &str = "x-host";
 
 /// Header that carries a process's incarnation.
-const INCARNATION: &str = "x-incarnation";
+const INCARNATION_HEADER: &str = "x-incarnation";
 
-/// Who is at an end of a link.
+/// Identity of the process at one end of a link.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// The host's name.
     pub host: id::Host,
-    /// The incarnation of its process.
+    /// The incarnation of its process; it changes with each start.
     pub incarnation: id::Incarnation,
 }
 
 impl Peer {
-    fn write(&self, headers: &mut HeaderMap) {
+    fn write_headers(&self, headers: &mut HeaderMap) {
         if let Ok(host) = self.host.parse() {
-            headers.insert(HOST, host);
+            headers.insert(HOST_HEADER, host);
         }
-        headers.insert(INCARNATION, self.incarnation.into());
+        headers.insert(INCARNATION_HEADER, self.incarnation.into());
     }
 
-    fn read(headers: &HeaderMap) -> Option<Self> {
-        let host = headers.get(HOST)?.to_str().ok()?.into();
-        let incarnation = headers.get(INCARNATION)?.to_str().ok()?.parse().ok()?;
+    fn read_headers(headers: &HeaderMap) -> Option<Self> {
+        let host = headers.get(HOST_HEADER)?.to_str().ok()?.into();
+        let incarnation = headers
+            .get(INCARNATION_HEADER)?
+            .to_str()
+            .ok()?
+            .parse()
+            .ok()?;
         Some(Self { host, incarnation })
     }
 }
 
-/// An open connection on which names have been exchanged.
+/// An open connection on which the handshake is complete.
 #[derive(Debug)]
 pub struct Link {
-    /// Who is at the other end.
+    /// The process at the other end.
     pub peer: Peer,
     sender: SendStream<Bytes>,
     receiver: RecvStream,
@@ -72,34 +77,35 @@
 ///
 /// # Errors
 ///
-/// When nobody listens there, or not one of the system's processes.
-pub async fn dial(me: &Peer, address: SocketAddr) -> Result<Link> {
-    let opened = tokio::time::timeout(OPEN_TIMEOUT, open(me, address)).await;
+/// If nothing listens there, the listener is not a process of the fleet, or the handshake times out.
+pub async fn dial(local_peer: &Peer, address: SocketAddr) -> Result<Link> {
+    let opened = tokio::time::timeout(OPEN_TIMEOUT, dial_handshake(local_peer, address)).await;
     opened.unwrap_or_else(|_| Err(Error::new(Step::Connect, address, "timed out")))
 }
 
-async fn open(me: &Peer, address: SocketAddr) -> Result<Link> {
+async fn dial_handshake(local_peer: &Peer, address: SocketAddr) -> Result<Link> {
     let fail = |e: &dyn std::fmt::Display| Error::new(Step::Connect, address, e);
     let stream = TcpStream::connect(address).await.map_err(|e| fail(&e))?;
     stream.set_nodelay(true).map_err(|e| fail(&e))?;
     let (client, connection) = h2::client::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .handshake::<_, Bytes>(stream)
         .await
         .map_err(|e| fail(&e))?;
     tokio::spawn(async move {
-        // An error ends the streams too, and is seen there.
+        // An error also ends the streams and is reported there.
         let _ = connection.await;
     });
     let mut client = client.ready().await.map_err(|e| fail(&e))?;
     let mut request = Request::post("http://node/v1/link")
         .body(())
         .map_err(|e| fail(&e))?;
-    me.write(request.headers_mut());
+    local_peer.write_headers(request.headers_mut());
     let (response, sender) = client.send_request(request, false).map_err(|e| fail(&e))?;
     let response = response.await.map_err(|e| fail(&e))?;
-    let peer = Peer::read(response.headers()).ok_or_else(|| fail(&"no host name"))?;
+    let peer = Peer::read_headers(response.headers())
+        .ok_or_else(|| fail(&"no valid host name and incarnation in the headers"))?;
     Ok(Link {
         peer,
         sender,
@@ -107,22 +113,22 @@
     })
 }
 
-/// Takes a connection that a peer has opened.
+/// Completes the handshake on a connection that a peer has opened.
 ///
 /// # Errors
 ///
-/// When the peer is not one of the system's processes, or is too slow.
-pub async fn accept(me: &Peer, stream: TcpStream) -> Result<Link> {
-    let accepted = tokio::time::timeout(OPEN_TIMEOUT, greet(me, stream)).await;
+/// If the peer is not a process of the fleet, or the handshake times out.
+pub async fn accept(local_peer: &Peer, stream: TcpStream) -> Result<Link> {
+    let accepted = tokio::time::timeout(OPEN_TIMEOUT, accept_handshake(local_peer, stream)).await;
     accepted.unwrap_or_else(|_| Err(Error::new(Step::Connect, "peer", "timed out")))
 }
 
-async fn greet(me: &Peer, stream: TcpStream) -> Result<Link> {
+async fn accept_handshake(local_peer: &Peer, stream: TcpStream) -> Result<Link> {
     let fail = |e: &dyn std::fmt::Display| Error::new(Step::Connect, "peer", e);
     stream.set_nodelay(true).map_err(|e| fail(&e))?;
     let mut connection = h2::server::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .max_concurrent_streams(1)
         .handshake::<_, Bytes>(stream)
         .await
@@ -132,9 +138,10 @@
         .ok_or_else(|| fail(&"closed"))?
         .map_err(|e| fail(&e))?;
     tokio::spawn(async move { while connection.accept().await.is_some() {} });
-    let peer = Peer::read(request.headers()).ok_or_else(|| fail(&"no host name"))?;
+    let peer = Peer::read_headers(request.headers())
+        .ok_or_else(|| fail(&"no valid host name and incarnation in the headers"))?;
     let mut response = Response::new(());
-    me.write(response.headers_mut());
+    local_peer.write_headers(response.headers_mut());
     let sender = respond
         .send_response(response, false)
         .map_err(|e| fail(&e))?;
@@ -146,11 +153,11 @@
 }
 
 impl Link {
-    /// Carries messages both ways until either side ends.
+    /// Transfers messages both ways until either side closes the link or `outbound` is closed.
     ///
     /// # Errors
     ///
-    /// Says at which step the link broke.
+    /// If reading, decoding or writing fails; the error names the step.
     pub async fn run(
         self,
         outbound: &mut mpsc::Receiver<Message>,
@@ -162,28 +169,28 @@
             receiver,
         } = self;
         tokio::select! {
-            ended = write(&peer, sender, outbound) => ended,
-            ended = read(&peer, receiver, inbound) => ended,
+            ended = write_messages(&peer, sender, outbound) => ended,
+            ended = read_messages(&peer, receiver, inbound) => ended,
         }
     }
 }
 
-async fn write(
+async fn write_messages(
     peer: &Peer,
     mut sender: SendStream<Bytes>,
     outbound: &mut mpsc::Receiver<Message>,
 ) -> Result<()> {
     let fail = |e: &dyn std::fmt::Display| Error::new(Step::Write, &peer.host, e);
     let mut batch = Vec::new();
-    while outbound.recv_many(&mut batch, BATCH).await > 0 {
+    while outbound.recv_many(&mut batch, MAX_BATCH_MESSAGES).await > 0 {
         let frame = frame::encode(std::mem::take(&mut batch)).map_err(|e| fail(&e))?;
         write_all(&mut sender, frame).await.map_err(|e| fail(&e))?;
     }
-    // The peer reads the end of the stream once it has read all that was sent before.
+    // The peer sees the end of the stream only after all data sent before it.
     sender.send_data(Bytes::new(), true).map_err(|e| fail(&e))
 }
 
-/// Writes as fast as the peer's window opens.
+/// Writes all of `data`, waiting for the peer's flow control window to open.
 async fn write_all(
     sender: &mut SendStream<Bytes>,
     mut data: Bytes,
@@ -200,7 +207,7 @@
     Ok(())
 }
 
-async fn read(
+async fn read_messages(
     peer: &Peer,
     mut receiver: RecvStream,
     inbound: &mpsc::Sender<Inbound>,
--- a/crates/lentillift-node/tests/hub.rs
+++ b/crates/lentillift-node/tests/hub.rs
@@ -1,4 +1,4 @@
-//! Links to processes that are over.
+//! Links to processes that have died without closing their connections.
 
 use lentillift_core::id;
 use lentillift_fleet::sync;
@@ -28,32 +28,32 @@
     }
 }
 
-/// A host loses power while others have connections to it, and its replacement takes its name at
-/// another address. Nothing ever closes the old connections; messages would go into them for many
+/// A host loses power while others have connections to it, and its replacement takes over its name at
+/// another address. Nothing closes the old connections; messages would be written to them for many
 /// minutes while their senders wait.
 #[tokio::test]
-async fn lost_link_is_given_up_and_the_next_one_goes_to_the_new_address() {
+async fn disconnected_link_is_replaced_by_one_to_the_new_address() {
     let (node, _) = listener().await;
-    let (mail, mut inbound) = mpsc::channel(16);
-    let hub = hub::spawn(peer("a", 1), node, mail);
+    let (inbound_sender, mut inbound) = mpsc::channel(16);
+    let hub = hub::spawn(peer("a", 1), node, inbound_sender);
 
-    // It accepts one link and then neither reads nor closes.
+    // The old process accepts one link and then neither reads from it nor closes it.
     let (old, old_address) = listener().await;
     let held = tokio::spawn(async move {
         let (stream, _) = old.accept().await.ok()?;
         let link = link::accept(&peer("b", 1), stream).await.ok()?;
         Some((old, link))
     });
-    let ask = || Message::Sync(sync::Message::Ask);
-    hub.send("b".into(), old_address, ask()).await;
+    let message = || Message::Sync(sync::Message::Ask);
+    hub.send("b".into(), old_address, message()).await;
     let held = held.await;
     assert!(matches!(held, Ok(Some(_))));
 
-    // Of another incarnation nothing is known here, so nothing is given up for it. The link may
-    // still be on its way to the hub, which is told until it has it.
-    hub.lose(peer("b", 2)).await;
+    // There is no link to incarnation 2, so the first call closes nothing. The hub may not have
+    // registered the link to incarnation 1 yet, so the second call is repeated until it has.
+    hub.disconnect(peer("b", 2)).await;
     let down = loop {
-        hub.lose(peer("b", 1)).await;
+        hub.disconnect(peer("b", 1)).await;
         tokio::task::yield_now().await;
         if let Ok(down) = inbound.try_recv() {
             break down;
@@ -62,13 +62,13 @@
     assert!(matches!(down, Inbound::Down { host } if *host == *"b"));
 
     let (new, new_address) = listener().await;
-    let (mail, mut at_new) = mpsc::channel(16);
-    let _new = hub::spawn(peer("b", 2), new, mail);
-    hub.send("b".into(), new_address, ask()).await;
+    let (inbound_sender, mut at_new) = mpsc::channel(16);
+    let _new = hub::spawn(peer("b", 2), new, inbound_sender);
+    hub.send("b".into(), new_address, message()).await;
     let received = at_new.recv().await;
     let Some(Inbound::Received { peer, messages }) = received else {
         panic!("found {received:?}");
     };
     assert_eq!(&*peer.host, "a");
-    assert_eq!(messages, [ask()]);
+    assert_eq!(messages, [message()]);
 }
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -76,7 +76,7 @@
 
     /// Closes the link to a process that is gone, dead or replaced by a new incarnation.
     pub async fn disconnect(&self, peer: Peer) {
-        self.hub.lose(peer).await;
+        self.hub.disconnect(peer).await;
     }
 
     fn address(&self, host: &id::Host) -> Option<std::net::SocketAddr> {
