--- a/crates/lentillift-node/src/datagram.rs
+++ b/crates/lentillift-node/src/datagram.rs
@@ -1,22 +1,23 @@
-//! Datagrams: one packet each, bounded in size.
+//! Encoding of membership packets as datagrams: one packet each, of bounded size.
 
 use crate::gossip;
 use lentillift_fleet::packet::Packet;
 
-/// Largest datagram, in bytes; no network on the way has to split it.
+/// Largest datagram, in bytes; small enough that no network on the path fragments it.
 pub const LIMIT: usize = 1400;
 
-/// Memory that a packet may take when it is read, in bytes.
+/// Limit on the memory of a decoded packet, in bytes.
 ///
-/// The decoder counts a list's room in memory, which is more than its room on the wire. Bounded by
-/// [`LIMIT`] it refused datagrams full of hosts with short names, and news did not spread.
-const MEMORY: usize = 4 * LIMIT;
+/// The decoder counts the size of a list in memory, which is larger than its size on the wire. With
+/// [`LIMIT`] as the bound it refused datagrams full of hosts with short names, and membership updates
+/// did not spread.
+const MAX_DECODED_BYTES: usize = 4 * LIMIT;
 
 /// Encodes a packet.
 ///
 /// # Errors
 ///
-/// When the datagram would be larger than [`LIMIT`].
+/// If the datagram would be larger than [`LIMIT`].
 pub fn encode(packet: Packet) -> Result<Vec<u8>, String> {
     let packet = gossip::Packet::from(packet);
     let config = bincode::config::standard();
@@ -34,9 +35,9 @@
 ///
 /// # Errors
 ///
-/// When it is malformed.
+/// If it is malformed, has trailing bytes or contains a member without a host name.
 pub fn decode(bytes: &[u8]) -> Result<Packet, String> {
-    let config = bincode::config::standard().with_limit::<MEMORY>();
+    let config = bincode::config::standard().with_limit::<MAX_DECODED_BYTES>();
     let (packet, used): (gossip::Packet, usize) =
         bincode::decode_from_slice(bytes, config).map_err(|e| e.to_string())?;
     if used != bytes.len() {
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other about hosts and values, as it stands on the wire.
+//! Serialized forms of the packets and messages about membership and published values.
 
 use crate::mirror::mirror;
 use bincode::Decode;
--- a/crates/lentillift-node/src/lease.rs
+++ b/crates/lentillift-node/src/lease.rs
@@ -1,4 +1,4 @@
-//! Wire forms of what is said about leases.
+//! Serialized forms of the types in messages about leases.
 
 use bincode::Decode;
 use bincode::Encode;
--- a/crates/lentillift-node/src/lib.rs
+++ b/crates/lentillift-node/src/lib.rs
@@ -1,7 +1,10 @@
-//! The protocol between the system's own processes: `h2` streams of `bincode` frames over TCP, and
-//! `bincode` datagrams over UDP at the same port.
+//! The protocol between the processes of the fleet: HTTP/2 streams (`h2`) of `bincode` frames over
+//! TCP, and `bincode` datagrams over UDP at the same port.
 //!
-//! Two processes share one connection as a rule; whichever dials first, both send over it.
+//! Two processes usually share one connection: the first one opened carries messages both ways.
+//!
+//! [`message`] holds the types that the rest of the program works with; [`wire`], [`gossip`],
+//! [`lease`] and [`once`] hold their serialized forms.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -1,4 +1,4 @@
-//! What the system's processes say to each other.
+//! Messages between the processes of the fleet.
 
 use lentillift_core::id;
 use lentillift_core::sub;
@@ -15,77 +15,80 @@
 use lentillift_once::submit::Settled;
 use lentillift_once::submit::Submit;
 
-/// A message between two of the system's processes.
+/// A message between two processes of the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// An entry asks an owner to serve a sub-request.
+    /// An entry sends a sub-request to the owner of its backend server.
     Sub(Sub),
-    /// An entry no longer wants a sub-request.
+    /// An entry cancels a sub-request.
     Cancel(id::Sub),
     /// An owner answers a sub-request.
     Result {
-        /// The desk that sent the sub-request.
+        /// The desk (the task at the entry) that sent the sub-request.
         desk: Desk,
-        /// The sub-request's number there.
+        /// The sub-request's id, unique at that desk.
         id: id::Sub,
-        /// The result.
+        /// The hits or the reply, or the failure.
         result: sub::Result,
         /// The backend server's load, if the sender owns it.
         load: Option<Load>,
     },
-    /// An entry passes a request that may run at most once to its home.
+    /// An entry forwards an at-most-once request to its home: the host that keeps the outcome for
+    /// the request's id.
     Submit {
         /// The request's number at the entry.
         request: id::Request,
         /// The request.
         submit: Submit,
     },
-    /// A home answers such a request.
+    /// A home answers an at-most-once request.
     Settled {
         /// The request's number at the entry.
         request: id::Request,
-        /// What became of it.
+        /// The outcome, and the reply or the cause of a refusal.
         settled: Settled,
     },
-    /// The host that was asked isn't the home of such a request.
+    /// The receiver of a [`Message::Submit`] is not the home of the request.
     NotHome {
         /// The request's number at the entry.
         request: id::Request,
     },
-    /// A home that ends hands over ids that it has given up.
+    /// A home that shuts down hands over request ids, which it no longer serves itself.
     Handover(Parcel),
-    /// A host has taken over what a parcel held.
+    /// A host has taken over the ids of a parcel.
     Taken {
         /// The parcel's number.
         number: u64,
     },
-    /// A process passes a sub-request on to the host that it knows to hold the backend server.
+    /// A process forwards a sub-request to the host that it knows to hold the lease on the backend
+    /// server.
     Forward {
         /// The host whose entry sent it, and which gets the result.
         from: id::Host,
         /// The sub-request.
         sub: Sub,
     },
-    /// A process claims backend servers from one of their guardians.
+    /// A process claims leases on backend servers from one of their guardians (the hosts that grant
+    /// these leases).
     Claims {
-        /// When it was sent, by the sender's clock; the answer brings it back.
+        /// Time of sending by the sender's clock; the answer repeats it.
         sent: Time,
-        /// The claims.
+        /// One claim per backend server.
         claims: Vec<Claim>,
     },
     /// A guardian answers claims.
     Verdicts {
-        /// When the claims were sent, as they said.
+        /// The time of sending that the claims carried.
         sent: Time,
-        /// The answers.
+        /// One verdict per claim, with the claim's backend server and attempt.
         verdicts: Vec<(id::Backend, Attempt, Verdict)>,
     },
-    /// A process gives grants back.
+    /// A process releases grants; each is named by its backend server and attempt.
     Release(Vec<(id::Backend, Attempt)>),
-    /// A holder hands a backend server over; it sends nothing more to it.
+    /// A lease holder hands a backend server over; it sends no further requests to it.
     Cede(Transfer),
-    /// A successor has taken a backend server over.
+    /// A successor has taken over a backend server.
     Ceded(id::Backend),
-    /// About hosts and values.
+    /// Synchronizes membership and published values.
     Sync(sync::Message),
 }
--- a/crates/lentillift-node/src/mirror.rs
+++ b/crates/lentillift-node/src/mirror.rs
@@ -1,8 +1,9 @@
-//! Enums of the wire that have the same variants, without data, as one of the decisions.
+//! A macro for wire enums that mirror a data-free enum of a decision crate.
 
-/// Declares a wire enum with the variants of another enum, and converts either way.
+/// Declares a wire enum with the same variants as another enum, and conversions both ways.
 ///
-/// A variant that is missing on one side does not compile. Their order is that of the wire.
+/// A variant that is missing on one side is a compile error. The order given here determines the
+/// encoding.
 macro_rules! mirror {
     ($name:ident of $domain:ty { $($variant:ident,)+ }) => {
         #[doc = concat!("See [`", stringify!($domain), "`].")]
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -1,4 +1,4 @@
-//! Wire forms of what is said about requests that may run at most once.
+//! Serialized forms of the types in messages about at-most-once requests.
 
 use crate::mirror::mirror;
 use crate::wire::Outcome;
@@ -148,7 +148,7 @@
     fn from(carried: record::Carried) -> Self {
         let state = match carried.state {
             record::State::Unused => State::Unused,
-            // Whoever takes over can't learn the result any more.
+            // The host that takes over can no longer learn the result of a request in flight.
             record::State::Sent(digest) | record::State::Unknown(digest) => State::Unknown(digest),
             record::State::Done(digest, reply) => {
                 State::Done(digest, reply.map(|reply| reply.to_vec()))
--- a/crates/lentillift-node/src/wire.rs
+++ b/crates/lentillift-node/src/wire.rs
@@ -1,6 +1,8 @@
-//! Messages as they stand on the wire.
+//! Serialized forms of messages.
 //!
-//! These types are apart from those the program works with, so that neither binds the other.
+//! These types are separate from those that the program works with, so that either side can change
+//! without the other. `bincode` encodes fields and variants by position: their order is part of the
+//! protocol.
 
 use crate::gossip;
 use crate::lease::Claim;
@@ -26,7 +28,7 @@
     /// See [`message::Message::Cancel`].
     Cancel(u64),
     /// See [`message::Message::Result`].
-    Result(Desk, u64, Answer, Option<Load>),
+    Result(Desk, u64, SubResult, Option<Load>),
     /// See [`message::Message::Submit`].
     Submit(u64, Submit),
     /// See [`message::Message::Settled`].
@@ -84,7 +86,7 @@
 
 /// See [`sub::Result`].
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub enum Answer {
+pub enum SubResult {
     /// See [`sub::Result::Hits`].
     Hits(Vec<Hit>),
     /// See [`sub::Result::Reply`].
@@ -274,7 +276,7 @@
     }
 }
 
-impl From<sub::Result> for Answer {
+impl From<sub::Result> for SubResult {
     fn from(result: sub::Result) -> Self {
         match result {
             sub::Result::Hits(hits) => Self::Hits(hits.into_iter().map(Hit::from).collect()),
@@ -286,17 +288,17 @@
     }
 }
 
-impl TryFrom<Answer> for sub::Result {
+impl TryFrom<SubResult> for sub::Result {
     type Error = String;
 
-    fn try_from(answer: Answer) -> Result<Self, Self::Error> {
-        Ok(match answer {
-            Answer::Hits(hits) => {
+    fn try_from(result: SubResult) -> Result<Self, Self::Error> {
+        Ok(match result {
+            SubResult::Hits(hits) => {
                 let hits = hits.into_iter().map(hit::Hit::try_from);
                 Self::Hits(hits.collect::<Result<_, _>>()?)
             }
-            Answer::Reply(body) => Self::Reply(body),
-            Answer::Failed(failure, outcome) => Self::Failed {
+            SubResult::Reply(body) => Self::Reply(body),
+            SubResult::Failed(failure, outcome) => Self::Failed {
                 failure: failure.into(),
                 outcome: outcome.into(),
             },
