--- a/crates/lentillift-node/examples/links.rs
+++ b/crates/lentillift-node/examples/links.rs
@@ -1,7 +1,7 @@
-//! What a link between two processes costs: memory while idle, processor time for each message.
+//! Measures the cost of a link between two processes: memory while idle, processor time per message.
 //!
-//! Usage: `links [LINKS] [MESSAGES]`. Both ends of all links are in this process, hence half of what
-//! it prints is one end's.
+//! Usage: `links [LINKS] [MESSAGES]`. Both ends of all links are in this process, so the cost of one
+//! end is half of each figure printed.
 
 #![forbid(unsafe_code)]
 
@@ -17,14 +17,14 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Messages that wait for their reader at most.
-const QUEUE: usize = 1024;
+/// Capacity of the channel for received events.
+const CHANNEL_CAPACITY: usize = 1024;
 
-/// Clock ticks in a second, as Linux counts processor time.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in which Linux reports processor time (`USER_HZ`).
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// One end that sends, and what it needs to be alive.
-struct End {
+/// The sending end of a link; the link stays open while `inbound` exists.
+struct Endpoint {
     hub: hub::Handle,
     inbound: mpsc::Receiver<Inbound>,
 }
@@ -35,45 +35,54 @@
     let links: u64 = arguments.next().unwrap_or(380);
     let messages: u64 = arguments.next().unwrap_or(200_000);
 
-    let (mail, mut inbound) = mpsc::channel(QUEUE);
+    let (inbound_sender, mut inbound) = mpsc::channel(CHANNEL_CAPACITY);
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let _hub = hub::spawn(peer("center", 0), listener, mail);
-    let before = resident();
-    let mut ends = Vec::new();
+    let _hub = hub::spawn(peer("center", 0), listener, inbound_sender);
+    let before_kb = resident_kb();
+    let mut endpoints = Vec::new();
     for number in 0..links {
-        ends.push(end(number, address).await?);
+        endpoints.push(connect(number, address).await?);
         receive(&mut inbound, 1).await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let memory = (resident() - before) / links as f64;
-    println!("{links} links: {memory:.1} KB resident for both ends of one");
+    let memory_kb = (resident_kb() - before_kb) / links as f64;
+    println!("{links} links: {memory_kb:.1} KB resident per link, both ends");
 
-    let (cpu, started) = (processor_time(), Instant::now());
+    let (cpu_seconds, started) = (processor_seconds(), Instant::now());
     let sender = tokio::spawn(async move {
         for number in 0..messages {
-            let end = &ends[(number % links) as usize];
-            end.hub.send("center".into(), address, message()).await;
+            let endpoint = &endpoints[(number % links) as usize];
+            endpoint.hub.send("center".into(), address, message()).await;
         }
-        ends
+        endpoints
     });
     receive(&mut inbound, messages).await;
-    let spent = (processor_time() - cpu) * 1e6 / messages as f64;
+    let spent_us = (processor_seconds() - cpu_seconds) * 1e6 / messages as f64;
     let wall = started.elapsed().as_secs_f64();
     println!(
-        "{messages} messages: {spent:.1} us of processor time for both ends of one, {wall:.2} s"
+        "{messages} messages: {spent_us:.1} us of processor time per message, both ends, {wall:.2} s"
+    );
+    let endpoints = sender.await.map_err(std::io::Error::other)?;
+    drop(
+        endpoints
+            .into_iter()
+            .map(|endpoint| endpoint.inbound)
+            .collect::<Vec<_>>(),
     );
-    let ends = sender.await.map_err(std::io::Error::other)?;
-    drop(ends.into_iter().map(|end| end.inbound).collect::<Vec<_>>());
     Ok(())
 }
 
-async fn end(number: u64, center: SocketAddr) -> std::io::Result<End> {
+async fn connect(number: u64, center: SocketAddr) -> std::io::Result<Endpoint> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let (mail, inbound) = mpsc::channel(QUEUE);
-    let hub = hub::spawn(peer(&format!("end-{number}"), number), listener, mail);
+    let (inbound_sender, inbound) = mpsc::channel(CHANNEL_CAPACITY);
+    let hub = hub::spawn(
+        peer(&format!("end-{number}"), number),
+        listener,
+        inbound_sender,
+    );
     hub.send("center".into(), center, message()).await;
-    Ok(End { hub, inbound })
+    Ok(Endpoint { hub, inbound })
 }
 
 fn peer(host: &str, incarnation: u64) -> Peer {
@@ -108,7 +117,7 @@
 }
 
 /// Resident memory of this process, in kilobytes.
-fn resident() -> f64 {
+fn resident_kb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().next());
@@ -116,9 +125,9 @@
 }
 
 /// Processor time of this process so far, in seconds.
-fn processor_time() -> f64 {
+fn processor_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.split_whitespace().skip(13).take(2);
     let ticks: f64 = fields.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
-    ticks / TICKS
+    ticks / TICKS_PER_SECOND
 }
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Whatever a peer sends, the reader refuses it or takes it, and holds no more than a frame.
+//! The decoders accept or refuse any bytes that a peer sends, and allocate no more than a frame's
+//! worth of memory.
 
 use bytes::BytesMut;
 use lentillift_fleet::member::Member;
@@ -28,7 +29,7 @@
     Message::Submit { request, submit }
 }
 
-fn read(bytes: &[u8]) -> Result<Vec<Message>, String> {
+fn decode_all(bytes: &[u8]) -> Result<Vec<Message>, String> {
     let mut buffer = BytesMut::from(bytes);
     let mut all = Vec::new();
     while let Some(messages) = frame::decode(&mut buffer)? {
@@ -46,54 +47,55 @@
     })]
 
     #[test]
-    fn any_bytes_are_taken_or_refused(mut bytes in prop::collection::vec(any::<u8>(), 0..200), framed: bool) {
+    fn any_bytes_are_accepted_or_refused(mut bytes in prop::collection::vec(any::<u8>(), 0..200), framed: bool) {
         if framed {
             let length = (bytes.len() as u32).to_be_bytes();
             bytes.splice(0..0, length);
         }
-        let _ = read(&bytes);
+        let _ = decode_all(&bytes);
     }
 
     #[test]
-    fn a_damaged_frame_is_taken_or_refused(at in 0usize..80, byte: u8, size in 0usize..40) {
+    fn a_corrupt_frame_is_accepted_or_refused(at in 0usize..80, byte: u8, size in 0usize..40) {
         let messages = vec![submit(1, size), Message::Cancel(2), submit(3, size)];
         let frame = frame::encode(messages).expect("a frame");
-        let mut damaged = frame.to_vec();
-        let at = at % damaged.len();
-        damaged[at] = byte;
-        let _ = read(&damaged);
+        let mut corrupt = frame.to_vec();
+        let at = at % corrupt.len();
+        corrupt[at] = byte;
+        let _ = decode_all(&corrupt);
     }
 
     #[test]
-    fn what_is_written_is_read(sizes in prop::collection::vec(0usize..300, 0..20)) {
+    fn encoded_messages_decode_to_the_same(sizes in prop::collection::vec(0usize..300, 0..20)) {
         let messages: Vec<Message> = sizes.iter().map(|size| submit(*size as u64, *size)).collect();
         let frame = frame::encode(messages.clone()).expect("a frame");
-        prop_assert_eq!(read(&frame), Ok(messages));
+        prop_assert_eq!(decode_all(&frame), Ok(messages));
     }
 }
 
-/// A peer says that a frame of gigabytes follows, or a list of as many messages.
+/// A peer announces a frame of gigabytes, or a list of as many messages; the decoder must not
+/// allocate memory for it.
 #[test]
 fn a_length_that_is_too_large_is_refused() {
-    assert!(read(&[0xff; 4]).is_err());
+    assert!(decode_all(&[0xff; 4]).is_err());
     let claims = [&[0, 0, 0, 9][..], &[0xfd], &[0xff; 8]].concat();
-    assert!(read(&claims).is_err());
+    assert!(decode_all(&claims).is_err());
 }
 
-/// 256 callers file large notices at the same moment, all by one home. In one frame they would
-/// pass its limit, the link would end, and each of them would learn nothing of its notice.
+/// 256 callers file large notices at the same moment through one home. A single frame for all would
+/// exceed the frame limit, the link would close, and no caller would learn the outcome.
 #[test]
 fn many_large_messages_go_into_several_frames() {
     let messages: Vec<Message> = (0..256).map(|n| submit(n, 64 * 1024)).collect();
     let frames = frame::encode(messages.clone()).expect("frames");
-    assert_eq!(read(&frames), Ok(messages));
+    assert_eq!(decode_all(&frames), Ok(messages));
 }
 
-/// Hosts have short names, so that many accounts go into one datagram. What a sender may send the
-/// receiver must take, or news would stop at once in a fleet with short names and nobody would know
-/// why.
+/// With short host names, many member records fit into one datagram. If the receiver refused a
+/// datagram that a sender may send, membership updates would stop spreading in such a fleet, with no
+/// visible cause.
 #[test]
-fn a_datagram_full_of_short_accounts_is_read() {
+fn a_datagram_full_of_short_member_records_is_decoded() {
     let member = |host: String| Member {
         host: host.into(),
         address: "127.0.0.1:1".parse().expect("an address"),
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams and messages about hosts and values, there and back.
+//! Round trips of datagrams and messages about membership and published values.
 
 use bytes::BytesMut;
 use lentillift_fleet::member::Member;
@@ -37,7 +37,7 @@
         .prop_map(
             |((host, domain), address, (incarnation, version), stage, health)| Member {
                 host: host.into(),
-                // What an IPv6 address carries beside its number and port is not sent.
+                // The flow label and scope id of an IPv6 address are not sent.
                 address: SocketAddr::new(address.ip(), address.port()),
                 domain: domain.into(),
                 incarnation,
@@ -130,27 +130,27 @@
     })]
 
     #[test]
-    fn packets_arrive_as_they_were_sent(packet in packet()) {
+    fn packets_survive_a_round_trip(packet in packet()) {
         let bytes = datagram::encode(packet.clone());
         prop_assert_eq!(datagram::decode(&bytes.unwrap_or_default()), Ok(packet));
     }
 
     #[test]
-    fn messages_arrive_as_they_were_sent(message in message()) {
+    fn messages_survive_a_round_trip(message in message()) {
         let sent = vec![Message::Sync(message)];
         let frame = frame::encode(sent.clone()).unwrap_or_default();
         prop_assert_eq!(frame::decode(&mut BytesMut::from(&frame[..])), Ok(Some(sent)));
     }
 
-    /// Anybody can send a datagram to an open port, and a packet can be cut short. A process that
-    /// fell over such bytes would be down.
+    /// Anyone can send a datagram to an open port, and a packet can be truncated. The decoder must
+    /// not panic on such bytes: that would take the process down.
     #[test]
-    fn foreign_bytes_are_refused(packet in packet(), noise in any::<Vec<u8>>(), at in any::<u16>()) {
+    fn malformed_datagrams_are_refused(packet in packet(), noise in any::<Vec<u8>>(), at in any::<u16>()) {
         let bytes = datagram::encode(packet).unwrap_or_default();
-        let cut = &bytes[..usize::from(at) % bytes.len()];
-        prop_assert!(datagram::decode(cut).is_err());
+        let truncated = &bytes[..usize::from(at) % bytes.len()];
+        prop_assert!(datagram::decode(truncated).is_err());
         prop_assert!(datagram::decode(&[&bytes[..], &[0]].concat()).is_err());
-        // Random bytes may by chance be a packet; they must not do harm.
+        // Random bytes may happen to be a valid packet; they must not cause a panic.
         let _ = datagram::decode(&noise);
     }
 }
