--- a/crates/lentilliftd/src/daemon.rs
+++ b/crates/lentilliftd/src/daemon.rs
@@ -2,13 +2,13 @@
 
 use crate::entry;
 use crate::fleet;
+use crate::lease;
 use crate::once;
 use crate::owner;
 use crate::peers;
 use crate::peers::Peers;
 use crate::peers::Router;
 use crate::report;
-use crate::tenure;
 use crate::trace;
 use lentillift_caller::call::Call;
 use lentillift_core::error::Error;
@@ -265,7 +265,7 @@
     pub async fn stop(self) {
         let _ = self.fleet.send(fleet::Input::Leave).await;
         let (done, owner_drained) = oneshot::channel();
-        let leave = owner::Input::Lease(tenure::Input::Leave(done));
+        let leave = owner::Input::Lease(lease::Input::Leave(done));
         let _ = self.owner.send(leave).await;
         // The load balancer must see the failing readiness check before connections are closed.
         let notice = tokio::time::sleep(READINESS_NOTICE);
--- a/crates/lentilliftd/src/lib.rs
+++ b/crates/lentilliftd/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod daemon;
 pub mod entry;
 pub mod fleet;
+pub mod lease;
 pub mod once;
 pub mod owner;
 pub mod peers;
 mod report;
-pub mod tenure;
 mod trace;
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -1,9 +1,9 @@
 //! The task that owns backend servers: it holds leases on them and dispatches requests to them.
 
 use crate::entry::sleep_until;
+use crate::lease;
 use crate::peers::Peers;
 use crate::report;
-use crate::tenure;
 use lentillift_backend::client;
 use lentillift_backend::client::Client;
 use lentillift_core::id;
@@ -69,7 +69,7 @@
         sub: Sub,
     },
     /// An input about leases.
-    Lease(tenure::Input),
+    Lease(lease::Input),
 }
 
 /// The task that owns backend servers.
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -16,9 +16,9 @@
 
 use crate::entry;
 use crate::fleet;
+use crate::lease;
 use crate::once;
 use crate::owner;
-use crate::tenure;
 
 /// Sends messages to any host, including this one.
 #[derive(Debug, Clone)]
@@ -127,11 +127,11 @@
             }
             Message::Claims { sent, claims } => {
                 let from = peer.clone();
-                self.send_lease_input(tenure::Input::Claims { from, sent, claims })
+                self.send_lease_input(lease::Input::Claims { from, sent, claims })
                     .await;
             }
             Message::Verdicts { sent, verdicts } => {
-                let input = tenure::Input::Verdicts {
+                let input = lease::Input::Verdicts {
                     from,
                     sent,
                     verdicts,
@@ -140,13 +140,13 @@
             }
             Message::Release(released) => {
                 let from = peer.clone();
-                self.send_lease_input(tenure::Input::Release { from, released })
+                self.send_lease_input(lease::Input::Release { from, released })
                     .await;
             }
-            Message::Cede(transfer) => self.send_lease_input(tenure::Input::Cede(transfer)).await,
+            Message::Cede(transfer) => self.send_lease_input(lease::Input::Cede(transfer)).await,
             Message::Ceded(backend) => {
                 let by = from;
-                self.send_lease_input(tenure::Input::Ceded { by, backend })
+                self.send_lease_input(lease::Input::Ceded { by, backend })
                     .await;
             }
             Message::Cancel(id) => {
@@ -189,7 +189,7 @@
         }
     }
 
-    async fn send_lease_input(&self, input: tenure::Input) {
+    async fn send_lease_input(&self, input: lease::Input) {
         let _ = self.owner.send(owner::Input::Lease(input)).await;
     }
 
@@ -206,7 +206,7 @@
                     .await;
             }
             Message::Forward { from, sub } => {
-                self.send_lease_input(tenure::Input::Returned { from, sub })
+                self.send_lease_input(lease::Input::Returned { from, sub })
                     .await;
             }
             Message::Submit { request, .. } => {
