--- a/crates/lentillift-gateway/src/member.rs
+++ b/crates/lentillift-gateway/src/member.rs
@@ -19,7 +19,7 @@
 {
     let mut ticks = tokio::time::interval(swim::TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut buffer = vec![0; datagram::LIMIT];
+    let mut buffer = vec![0; datagram::MAX_BYTES];
     loop {
         let effects = tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
--- a/crates/lentillift-node/src/datagram.rs
+++ b/crates/lentillift-node/src/datagram.rs
@@ -4,27 +4,27 @@
 use lentillift_fleet::packet::Packet;
 
 /// Largest datagram, in bytes; small enough that no network on the path fragments it.
-pub const LIMIT: usize = 1400;
+pub const MAX_BYTES: usize = 1400;
 
 /// Limit on the memory of a decoded packet, in bytes.
 ///
 /// The decoder counts the size of a list in memory, which is larger than its size on the wire. With
-/// [`LIMIT`] as the bound it refused datagrams full of hosts with short names, and membership updates
+/// [`MAX_BYTES`] as the bound it refused datagrams full of hosts with short names, and membership updates
 /// did not spread.
-const MAX_DECODED_BYTES: usize = 4 * LIMIT;
+const MAX_DECODED_BYTES: usize = 4 * MAX_BYTES;
 
 /// Encodes a packet.
 ///
 /// # Errors
 ///
-/// If the datagram would be larger than [`LIMIT`].
+/// If the datagram would be larger than [`MAX_BYTES`].
 pub fn encode(packet: Packet) -> Result<Vec<u8>, String> {
     let packet = gossip::Packet::from(packet);
     let config = bincode::config::standard();
     let bytes = bincode::encode_to_vec(packet, config).map_err(|e| e.to_string())?;
-    if bytes.len() > LIMIT {
+    if bytes.len() > MAX_BYTES {
         return Err(format!(
-            "datagram of {} bytes, at most {LIMIT}",
+            "datagram of {} bytes, at most {MAX_BYTES}",
             bytes.len()
         ));
     }
--- a/crates/lentilliftd/src/fleet.rs
+++ b/crates/lentilliftd/src/fleet.rs
@@ -116,7 +116,7 @@
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>) {
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut buffer = vec![0; datagram::LIMIT];
+        let mut buffer = vec![0; datagram::MAX_BYTES];
         loop {
             let event = tokio::select! {
                 _ = ticks.tick() => Event::Tick,
