--- a/crates/lentillift-node/src/datagram.rs
+++ b/crates/lentillift-node/src/datagram.rs
@@ -9,8 +9,8 @@
 /// Limit on the memory of a decoded packet, in bytes.
 ///
 /// The decoder counts the size of a list in memory, which is larger than its size on the wire. With
-/// [`MAX_BYTES`] as the bound it refused datagrams full of hosts with short names, and membership updates
-/// did not spread.
+/// [`MAX_BYTES`] as the bound it refused datagrams full of hosts with short names, and membership
+/// updates did not spread.
 const MAX_DECODED_BYTES: usize = 4 * MAX_BYTES;
 
 /// Encodes a packet.
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -123,7 +123,7 @@
 
     fn try_from(member: Member) -> Result<Self, Self::Error> {
         if member.host.is_empty() {
-            return Err("a host without a name".to_owned());
+            return Err("member without a host name".to_owned());
         }
         Ok(Self {
             host: member.host.into(),
--- a/crates/lentillift-node/tests/hub.rs
+++ b/crates/lentillift-node/tests/hub.rs
@@ -62,10 +62,10 @@
     assert!(matches!(down, Inbound::Down { host } if *host == *"b"));
 
     let (new, new_address) = listener().await;
-    let (inbound_sender, mut at_new) = mpsc::channel(16);
+    let (inbound_sender, mut new_inbound) = mpsc::channel(16);
     let _new = hub::spawn(peer("b", 2), new, inbound_sender);
     hub.send("b".into(), new_address, message()).await;
-    let received = at_new.recv().await;
+    let received = new_inbound.recv().await;
     let Some(Inbound::Received { peer, messages }) = received else {
         panic!("found {received:?}");
     };
--- a/crates/lentilliftd/src/fleet.rs
+++ b/crates/lentilliftd/src/fleet.rs
@@ -54,7 +54,9 @@
 /// A command for the link to a peer.
 #[derive(Debug)]
 enum LinkCommand {
+    /// Sends a message to a host.
     Send(id::Host, Message),
+    /// Closes the link to a process that has ended.
     Lose(Peer),
 }
 
--- a/crates/lentilliftd/src/once.rs
+++ b/crates/lentilliftd/src/once.rs
@@ -51,8 +51,11 @@
 #[derive(Debug)]
 pub struct Task {
     once: Traced<Once<StdRng>>,
+    /// Callers that wait for a new request id.
     pending_issues: HashMap<id::Request, oneshot::Sender<Result<String, Refusal>>>,
+    /// Callers that wait for an outcome.
     pending_actions: HashMap<id::Request, PendingAction>,
+    /// Completed once all ids are handed over.
     drain_done: Vec<oneshot::Sender<()>>,
     next_issue: id::Request,
     clock: Clock,
--- a/crates/lentilliftd/tests/process.rs
+++ b/crates/lentilliftd/tests/process.rs
@@ -30,6 +30,7 @@
 
 /// Processes, one in each failure domain.
 const HOSTS: usize = 3;
+
 /// Shards of the service, each with two replicas.
 const SHARDS: usize = 6;
 
@@ -44,7 +45,8 @@
 }
 
 impl Process {
-    /// Starts a process that listens for its peers at `node`, its address in the published host list.
+    /// Starts a process that listens for its peers at `node`: port 0 before the host list is
+    /// published, the address in that list from then on.
     fn start(number: usize, node: SocketAddr, platform: SocketAddr) -> Self {
         let domain = ["a", "b", "c"][number];
         let mut child = Command::new(env!("CARGO_BIN_EXE_lentilliftd"))
