--- a/crates/lentillift-node/examples/links.rs
+++ b/crates/lentillift-node/examples/links.rs
@@ -1,7 +1,8 @@
-//! Measures the cost of a link between two processes: memory while idle, processor time per message.
+//! Measures the cost of a link between two processes: memory while idle, processor time per
+//! message.
 //!
-//! Usage: `links [LINKS] [MESSAGES]`. Both ends of all links are in this process, so the cost of one
-//! end is half of each figure printed.
+//! Usage: `links [LINKS] [MESSAGES]`. Both ends of all links are in this process, so the cost of
+//! one end is half of each figure printed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-node/examples/renewal.rs
+++ b/crates/lentillift-node/examples/renewal.rs
@@ -1,5 +1,5 @@
-//! Prints the size of a lease renewal on the wire, in bytes without TCP and HTTP/2 overhead, by number
-//! of leases.
+//! Prints the size of a lease renewal on the wire, in bytes without TCP and HTTP/2 overhead, by
+//! number of leases.
 
 use lentillift_fleet::grant::Claim;
 use lentillift_fleet::grant::Verdict;
--- a/crates/lentillift-node/src/hub.rs
+++ b/crates/lentillift-node/src/hub.rs
@@ -92,9 +92,10 @@
 
     /// Closes the link to a process that is gone, dead or replaced by a new incarnation.
     ///
-    /// A host that loses power closes no connection. Messages for it, and for the process that takes
-    /// over its name at another address, would be written to the old connection until TCP times out
-    /// after many minutes. For messages already sent on it the hub reports [`Inbound::Down`].
+    /// A host that loses power closes no connection. Messages for it, and for the process that
+    /// takes over its name at another address, would be written to the old connection until TCP
+    /// times out after many minutes. For messages already sent on it the hub reports
+    /// [`Inbound::Down`].
     pub async fn disconnect(&self, peer: Peer) {
         let _ = self.commands.send(Command::Lost(peer)).await;
     }
--- a/crates/lentillift-node/src/link.rs
+++ b/crates/lentillift-node/src/link.rs
@@ -77,7 +77,8 @@
 ///
 /// # Errors
 ///
-/// If nothing listens there, the listener is not a process of the fleet, or the handshake times out.
+/// If nothing listens there, the listener is not a process of the fleet, or the handshake times
+/// out.
 pub async fn dial(local_peer: &Peer, address: SocketAddr) -> Result<Link> {
     let opened = tokio::time::timeout(OPEN_TIMEOUT, dial_handshake(local_peer, address)).await;
     opened.unwrap_or_else(|_| Err(Error::new(Step::Connect, address, "timed out")))
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -92,8 +92,8 @@
 }
 
 /// With short host names, many member records fit into one datagram. If the receiver refused a
-/// datagram that a sender may send, membership updates would stop spreading in such a fleet, with no
-/// visible cause.
+/// datagram that a sender may send, membership updates would stop spreading in such a fleet, with
+/// no visible cause.
 #[test]
 fn a_datagram_full_of_short_member_records_is_decoded() {
     let member = |host: String| Member {
--- a/crates/lentillift-node/tests/hub.rs
+++ b/crates/lentillift-node/tests/hub.rs
@@ -28,9 +28,9 @@
     }
 }
 
-/// A host loses power while others have connections to it, and its replacement takes over its name at
-/// another address. Nothing closes the old connections; messages would be written to them for many
-/// minutes while their senders wait.
+/// A host loses power while others have connections to it, and its replacement takes over its name
+/// at another address. Nothing closes the old connections; messages would be written to them for
+/// many minutes while their senders wait.
 #[tokio::test]
 async fn disconnected_link_is_replaced_by_one_to_the_new_address() {
     let (node, _) = listener().await;
--- a/crates/lentilliftd/src/fleet.rs
+++ b/crates/lentilliftd/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The membership task: it owns the datagram socket, exchanges hosts and published values with peers
-//! and publishes the resulting view of the fleet.
+//! The membership task: it owns the datagram socket, exchanges hosts and published values with
+//! peers and publishes the resulting view of the fleet.
 
 use crate::peers::Peers;
 use lentillift_core::id;
@@ -32,8 +32,8 @@
 use tokio::time::MissedTickBehavior;
 use tracing::info;
 
-/// Capacity of the queue of messages to peers. A message that finds it full is dropped and requested
-/// again later.
+/// Capacity of the queue of messages to peers. A message that finds it full is dropped and
+/// requested again later.
 const LINK_QUEUE_CAPACITY: usize = 1024;
 
 /// Inputs from other tasks.
@@ -72,8 +72,8 @@
     inputs: mpsc::Sender<Input>,
     /// Commands for the links to peers.
     ///
-    /// A separate task carries them out. If this one waited for a full queue it would neither answer
-    /// probes nor update the view, and the other hosts would declare this process dead.
+    /// A separate task carries them out. If this one waited for a full queue it would neither
+    /// answer probes nor update the view, and the other hosts would declare this process dead.
     link_commands: mpsc::Sender<LinkCommand>,
 }
 
@@ -197,8 +197,8 @@
         match datagram::encode(packet) {
             Ok(bytes) => {
                 self.count_datagram(&labels, bytes.len());
-                // If the send buffer is full the datagram is lost, like one lost on the network; probes
-                // are repeated.
+                // If the send buffer is full the datagram is lost, like one lost on the network;
+                // probes are repeated.
                 let _ = self.socket.try_send_to(&bytes, to);
             }
             Err(_) => self.board.add("lentillift_datagrams_bad_total", &labels, 1),
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -197,7 +197,8 @@
         let _ = self.once.send(once::Input::Event(event)).await;
     }
 
-    /// Reports a message that never left this process, and hence ran nowhere, to the task concerned.
+    /// Reports a message that never left this process, and hence ran nowhere, to the task
+    /// concerned.
     async fn handle_undelivered(&self, message: Message) {
         match message {
             Message::Sub(sub) => {
--- a/crates/lentilliftd/tests/process.rs
+++ b/crates/lentilliftd/tests/process.rs
@@ -281,8 +281,8 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for process in &mut self.processes {
-            // Errors are ignored: the process may have exited already, and a failed test reports its
-            // own message.
+            // Errors are ignored: the process may have exited already, and a failed test reports
+            // its own message.
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
--- a/crates/lentilliftd/tests/truth.rs
+++ b/crates/lentilliftd/tests/truth.rs
@@ -255,8 +255,8 @@
     std::fs::remove_dir_all(&fleet.traces).expect("remove");
 }
 
-/// A host is replaced after it filed a notice whose reply never reached the caller. A retry with the
-/// same id at another host must report the notice as filed and not file it again.
+/// A host is replaced after it filed a notice whose reply never reached the caller. A retry with
+/// the same id at another host must report the notice as filed and not file it again.
 #[test]
 fn a_stopping_host_hands_over_its_stored_outcomes() {
     let mut fleet = Fleet::start("hand-over", &Behavior::default());
