--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other about hosts and values, as it stands on the wire.
+//! Serialized forms of the packets and messages about membership and published values.
 
 use crate::mirror::mirror;
 use bincode::Decode;
@@ -123,7 +123,7 @@
 
     fn try_from(member: Member) -> Result<Self, Self::Error> {
         if member.host.is_empty() {
-            return Err("a host without a name".to_owned());
+            return Err("member without a host name".to_owned());
         }
         Ok(Self {
             host: member.host.into(),
