--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -110,7 +110,7 @@
     /// Were they told with the next message that is due anyway, knowledge would be older by up to that
     /// time at each host that it passes, and the last hosts would leave origins that are well. Ages are
     /// told in whole milliseconds, so a proof that is later by less than half a heartbeat is no new one.
-    pub fn is_anew(&self, before: Option<Time>, proved: Option<Time>) -> bool {
+    pub fn is_newer_proof(&self, before: Option<Time>, proved: Option<Time>) -> bool {
         match (before, proved) {
             (Some(before), Some(proved)) => proved.saturating_sub(before) >= self.heartbeat() / 2,
             (before, proved) => before != proved,
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -250,7 +250,7 @@
             .proved
             .is_none_or(|proved| !is_quiet || now >= proved + OPTIONS.watch());
         let proved = if returned { Some(now) } else { state.proved };
-        let anew = OPTIONS.is_anew(state.proved, proved);
+        let anew = OPTIONS.is_newer_proof(state.proved, proved);
         let news = !is_quiet || state.way != way || !state.steady || anew;
         state.changed += u64::from(news);
         state.way = way;
@@ -299,7 +299,7 @@
         };
         let now = self.now;
         let state = &mut self.nodes[node];
-        let anew = OPTIONS.is_anew(state.proved, state.proved.max(proved));
+        let anew = OPTIONS.is_newer_proof(state.proved, state.proved.max(proved));
         let news = state.revision < revision || state.way != way || anew;
         state.revision = state.revision.max(revision);
         state.proved = state.proved.max(proved);
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -163,7 +163,7 @@
         let before = state.proved;
         state.proved = before.max(proved);
         state.complete = state.complete.max(complete);
-        if OPTIONS.is_anew(Some(before), Some(state.proved)) && host + 1 < self.hosts.len() {
+        if OPTIONS.is_newer_proof(Some(before), Some(state.proved)) && host + 1 < self.hosts.len() {
             self.tell(host + 1);
         }
     }
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -169,7 +169,7 @@
             let before = self.proved.get();
             let latest = before.map_or(at, |old| old.max(at));
             self.proved.set(Some(latest));
-            if self.news.is_anew(before, Some(latest)) {
+            if self.news.is_newer_proof(before, Some(latest)) {
                 self.changed.send_modify(|count| *count += 1);
             }
         }
