--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -101,7 +101,7 @@
 
     /// Longest pause once all origins have failed; a host draws it between half of it and the whole, so
     /// that they do not all ask at once.
-    pub fn rest(&self) -> Duration {
+    pub fn retry_pause(&self) -> Duration {
         self.bound / 6
     }
 
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -192,7 +192,7 @@
         let urgency = OPTIONS.urgency(age);
         state.task = match state.search.next(&order, urgency, now) {
             Next::Pause => Task::Search {
-                at: now + OPTIONS.rest(),
+                at: now + OPTIONS.retry_pause(),
             },
             Next::Try {
                 origin: Origin::Service,
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -66,7 +66,10 @@
         let order = order(&host, search.round());
         let next = search.next(&order, host.news.urgency(host.age()), host.now());
         let Next::Try { origin, until } = next else {
-            let pause = host.news.rest().mul_f64(rand::rng().random_range(0.5..1.0));
+            let pause = host
+                .news
+                .retry_pause()
+                .mul_f64(rand::rng().random_range(0.5..1.0));
             tokio::time::sleep(pause).await;
             continue;
         };
