--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -95,7 +95,7 @@
     /// Time in which a host that is asked to be followed has told something. What it knows it tells at
     /// once, so this is for the way and a busy processor. A host that was cut off finds its own origin
     /// silent after a third of the bound, then asks three others at most before the service.
-    pub fn open(&self) -> Duration {
+    pub fn open_timeout(&self) -> Duration {
         self.bound / 8
     }
 
@@ -134,7 +134,7 @@
     /// How much time is left to find an origin, given the age of what is known: what one that is silent costs has to
     /// end before that gets too old.
     pub fn urgency(&self, age: Option<Duration>) -> Urgency {
-        match age.is_some_and(|age| age + self.open() > self.stale()) {
+        match age.is_some_and(|age| age + self.open_timeout() > self.stale()) {
             true => Urgency::High,
             false => Urgency::Low,
         }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -201,7 +201,7 @@
             Next::Try { origin, until } => Task::Open {
                 origin,
                 until,
-                by: now + OPTIONS.open(),
+                by: now + OPTIONS.open_timeout(),
             },
         };
     }
@@ -457,8 +457,8 @@
 
 hurries! {
     a_host_that_starts_asks_other_hosts_first: None => Urgency::Low;
-    there_is_time_for_one_vain_try: Some(OPTIONS.stale() - OPTIONS.open()) => Urgency::Low;
-    there_is_no_time_for_a_vain_try: Some(OPTIONS.stale() - OPTIONS.open() + TICK) => Urgency::High;
+    there_is_time_for_one_vain_try: Some(OPTIONS.stale() - OPTIONS.open_timeout()) => Urgency::Low;
+    there_is_no_time_for_a_vain_try: Some(OPTIONS.stale() - OPTIONS.open_timeout() + TICK) => Urgency::High;
 }
 
 /// What is published goes from host to host over their links. When one host sent a copy to each of its
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -204,7 +204,7 @@
 {
     let patience = match allowed {
         Some(_) => host.news.frame(),
-        None => host.news.open(),
+        None => host.news.open_timeout(),
     };
     if let (Some(allowed), Some(age)) = (allowed, host.age()) {
         let left = allowed.saturating_sub(age);
@@ -292,7 +292,11 @@
     *request.method_mut() = http::Method::POST;
     let uri = format!("http://host{PATH}{after}");
     *request.uri_mut() = uri.parse().map_err(|_| fail("path can't be sent"))?;
-    let sent = tokio::time::timeout(host.news.open(), host.peers.stream(address, request)).await;
+    let sent = tokio::time::timeout(
+        host.news.open_timeout(),
+        host.peers.stream(address, request),
+    )
+    .await;
     let response = sent.map_err(|_| {
         // A connection can be silent for good while a new one works.
         host.peers.drop_connection(address);
