--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -88,7 +88,7 @@
     }
 
     /// Time without a frame after which whoever is followed is given up: three heartbeats.
-    pub fn frame(&self) -> Duration {
+    pub fn frame_timeout(&self) -> Duration {
         self.heartbeat() * 3
     }
 
@@ -127,7 +127,7 @@
         let is_away = away.is_some_and(|away| away <= self.bound);
         match age <= self.bound || is_away {
             true => Admission::Serve,
-            false => Admission::Await(self.frame()),
+            false => Admission::Await(self.frame_timeout()),
         }
     }
 
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -277,7 +277,7 @@
             return self.leave(node, &origin, Left::Failed);
         }
         if !self.reach(node, host) {
-            if self.now >= heard + OPTIONS.frame() {
+            if self.now >= heard + OPTIONS.frame_timeout() {
                 self.leave(node, &origin, Left::Failed);
             }
             return;
@@ -440,9 +440,9 @@
 admits! {
     fresh_knowledge_serves: 20, None => Admission::Serve;
     knowledge_within_the_bound_serves: 3000, None => Admission::Serve;
-    a_host_that_stood_still_waits_for_news: 3001, None => Admission::Await(OPTIONS.frame());
+    a_host_that_stood_still_waits_for_news: 3001, None => Admission::Await(OPTIONS.frame_timeout());
     old_knowledge_serves_while_the_service_is_away: 60_000, Some(800) => Admission::Serve;
-    old_knowledge_waits_once_the_service_is_back: 60_000, Some(3001) => Admission::Await(OPTIONS.frame());
+    old_knowledge_waits_once_the_service_is_back: 60_000, Some(3001) => Admission::Await(OPTIONS.frame_timeout());
 }
 
 /// A host loses its origin when there is no time left for a vain try of another host.
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -203,7 +203,7 @@
     S: Source,
 {
     let patience = match allowed {
-        Some(_) => host.news.frame(),
+        Some(_) => host.news.frame_timeout(),
         None => host.news.open_timeout(),
     };
     if let (Some(allowed), Some(age)) = (allowed, host.age()) {
