--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -134,7 +134,7 @@
     /// How much time is left to find an origin, given the age of what is known: what one that is silent costs has to
     /// end before that gets too old.
     pub fn urgency(&self, age: Option<Duration>) -> Urgency {
-        match age.is_some_and(|age| age + self.open_timeout() > self.stale()) {
+        match age.is_some_and(|age| age + self.open_timeout() > self.max_age()) {
             true => Urgency::High,
             false => Urgency::Low,
         }
@@ -142,7 +142,7 @@
 
     /// Age of knowledge at which another origin is tried: a watch, its slack and a heartbeat, which
     /// leaves more than a third of the bound to find one.
-    pub fn stale(&self) -> Duration {
+    pub fn max_age(&self) -> Duration {
         self.watch() + self.slack() + self.heartbeat()
     }
 }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -273,7 +273,7 @@
             return self.leave(node, &origin, Left::Again);
         }
         let age = self.nodes[node].proved.map(|proved| self.now - proved);
-        if age.is_some_and(|age| age > OPTIONS.stale()) {
+        if age.is_some_and(|age| age > OPTIONS.max_age()) {
             return self.leave(node, &origin, Left::Failed);
         }
         if !self.reach(node, host) {
@@ -311,7 +311,7 @@
         state.changed += u64::from(news);
         if state
             .proved
-            .is_none_or(|proved| now > proved + OPTIONS.stale())
+            .is_none_or(|proved| now > proved + OPTIONS.max_age())
         {
             return self.leave(node, &origin, Left::Failed);
         }
@@ -419,7 +419,7 @@
     for age in ages {
         let asked = age + OPTIONS.pause();
         let proved = asked + OPTIONS.next_watch(asked);
-        assert!(proved + OPTIONS.slack() <= OPTIONS.stale(), "{age:?}");
+        assert!(proved + OPTIONS.slack() <= OPTIONS.max_age(), "{age:?}");
     }
     assert_eq!(OPTIONS.next_watch(Duration::ZERO), OPTIONS.watch());
 }
@@ -457,8 +457,8 @@
 
 hurries! {
     a_host_that_starts_asks_other_hosts_first: None => Urgency::Low;
-    there_is_time_for_one_vain_try: Some(OPTIONS.stale() - OPTIONS.open_timeout()) => Urgency::Low;
-    there_is_no_time_for_a_vain_try: Some(OPTIONS.stale() - OPTIONS.open_timeout() + TICK) => Urgency::High;
+    there_is_time_for_one_vain_try: Some(OPTIONS.max_age() - OPTIONS.open_timeout()) => Urgency::Low;
+    there_is_no_time_for_a_vain_try: Some(OPTIONS.max_age() - OPTIONS.open_timeout() + TICK) => Urgency::High;
 }
 
 /// What is published goes from host to host over their links. When one host sent a copy to each of its
@@ -567,7 +567,7 @@
             world.run(TICK);
             let oldest = world.oldest_that_can_read();
             // An origin is left when its knowledge is too old, or with the next message.
-            let allowed = OPTIONS.stale() + OPTIONS.heartbeat();
+            let allowed = OPTIONS.max_age() + OPTIONS.heartbeat();
             prop_assert!(oldest <= allowed, "{oldest:?}");
         }
     }
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -186,7 +186,7 @@
                 chain.step();
                 if chain.now > OPTIONS.bound * 2 {
                     let oldest = chain.oldest();
-                    assert!(oldest < OPTIONS.stale(), "{oldest:?}");
+                    assert!(oldest < OPTIONS.max_age(), "{oldest:?}");
                 }
             }
         }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -183,7 +183,7 @@
         }
         let patient = host.age().is_none() && host.now() < began + PATIENCE;
         // That a message was long under way is not the origin's fault.
-        let most = host.news.stale() + size.took;
+        let most = host.news.max_age() + size.took;
         if !patient && host.age().is_none_or(|age| age > most) {
             return Left::Failed(too_old(host, name));
         }
