--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -33,7 +33,7 @@
 
 /// Hosts of its failure domain that a host passes news on to, and first hosts of others. More make fewer
 /// steps of more copies each; the product of the two is least for three.
-pub const FAN: usize = 3;
+pub const FANOUT: usize = 3;
 
 /// Hosts of its failure domain that a host tries before the first of all.
 const NEAR: usize = 2;
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -5,7 +5,7 @@
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Admission;
 use lentillift_fleet::follow::Candidate;
-use lentillift_fleet::follow::FAN;
+use lentillift_fleet::follow::FANOUT;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::Origin;
 use lentillift_fleet::follow::search::Left;
@@ -165,7 +165,7 @@
         let answering = |other: &usize| *other != node && !lost(*other);
         let others = (0..self.nodes.len()).filter(answering);
         let others: Vec<Candidate> = others.map(|other| self.nodes[other].me.clone()).collect();
-        follow::order(me, &others, FAN, self.nodes[node].search.round())
+        follow::order(me, &others, FANOUT, self.nodes[node].search.round())
     }
 
     fn step(&mut self, node: usize) {
--- a/crates/lentillift-fleet/tests/swim.rs
+++ b/crates/lentillift-fleet/tests/swim.rs
@@ -249,7 +249,7 @@
     follow::order(
         &candidate(number),
         &others.collect::<Vec<_>>(),
-        follow::FAN,
+        follow::FANOUT,
         0,
     )
 }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -128,7 +128,7 @@
         .collect();
     // Without relays the first host of a failure domain tells all others of it.
     let fan = if host.is_on(Mechanism::Relays) {
-        follow::FAN
+        follow::FANOUT
     } else {
         usize::MAX
     };
