--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -178,7 +178,7 @@
 /// others each passes news on, and the round of the search.
 ///
 /// Whoever is best ranks above `me`, so hosts that agree on who answers never follow each other in a ring.
-pub fn order(me: &Candidate, others: &[Candidate], fan: usize, round: usize) -> Vec<Origin> {
+pub fn rank_origins(me: &Candidate, others: &[Candidate], fan: usize, round: usize) -> Vec<Origin> {
     let ranked = rank(me, others);
     let heads = heads(&ranked);
     let near: Vec<&Candidate> = ranked
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -165,7 +165,7 @@
         let answering = |other: &usize| *other != node && !lost(*other);
         let others = (0..self.nodes.len()).filter(answering);
         let others: Vec<Candidate> = others.map(|other| self.nodes[other].me.clone()).collect();
-        follow::order(me, &others, FANOUT, self.nodes[node].search.round())
+        follow::rank_origins(me, &others, FANOUT, self.nodes[node].search.round())
     }
 
     fn step(&mut self, node: usize) {
--- a/crates/lentillift-fleet/tests/swim.rs
+++ b/crates/lentillift-fleet/tests/swim.rs
@@ -246,7 +246,7 @@
 
 fn order(number: usize, count: usize) -> Vec<Origin> {
     let others = (0..count).filter(|n| *n != number).map(candidate);
-    follow::order(
+    follow::rank_origins(
         &candidate(number),
         &others.collect::<Vec<_>>(),
         follow::FANOUT,
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -132,7 +132,7 @@
     } else {
         usize::MAX
     };
-    follow::order(&me, &others, fan, round)
+    follow::rank_origins(&me, &others, fan, round)
 }
 
 /// Whether the origin is to be left for a better one.
--- a/crates/lentillift-gateway/tests/ages.rs
+++ b/crates/lentillift-gateway/tests/ages.rs
@@ -96,8 +96,9 @@
         domain: "a".into(),
     };
     let others = [candidate(origin)];
-    let best =
-        |name: &String| follow::order(&candidate(name), &others, follow::FANOUT, 0).remove(0);
+    let best = |name: &String| {
+        follow::rank_origins(&candidate(name), &others, follow::FANOUT, 0).remove(0)
+    };
     let mut names = (0..).map(|number| format!("follower-{number}"));
     let name = names.find(|name| best(name) == Origin::Host(origin.into()));
     name.expect("some name ranks below the origin")
--- a/crates/lentillift-gateway/tests/spread.rs
+++ b/crates/lentillift-gateway/tests/spread.rs
@@ -95,7 +95,7 @@
     let mut has: Vec<(id::Host, f64)> = Vec::new();
     for me in fleet {
         let others: Vec<Candidate> = fleet.iter().filter(|one| *one != me).cloned().collect();
-        match follow::order(me, &others, follow::FANOUT, 0)
+        match follow::rank_origins(me, &others, follow::FANOUT, 0)
             .into_iter()
             .next()
         {
