--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -43,7 +43,7 @@
 
 /// The questions of a follower to its origin.
 #[derive(Debug)]
-pub struct Questions {
+pub struct Polls {
     /// The last one that was answered, or the first before there is an answer.
     last: Question,
     /// Those after it.
@@ -52,7 +52,7 @@
     next: Number,
 }
 
-impl Questions {
+impl Polls {
     /// The first question is asked now.
     pub fn start(now: Time) -> Self {
         Self {
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -5,7 +5,7 @@
 use lentillift_fleet::follow::proof;
 use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
-use lentillift_fleet::follow::proof::Questions;
+use lentillift_fleet::follow::proof::Polls;
 use lentillift_fleet::follow::proof::Unasked;
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -31,7 +31,7 @@
 /// A host and its way to its origin.
 #[derive(Debug)]
 struct Host {
-    questions: Questions,
+    questions: Polls,
     next_question: Time,
     /// What it holds for the time up to which it knows everything.
     proved: Time,
@@ -58,7 +58,7 @@
 impl Chain {
     fn new(length: usize, delays: Vec<Duration>) -> Self {
         let host = |_| Host {
-            questions: Questions::start(Time::ZERO),
+            questions: Polls::start(Time::ZERO),
             next_question: Time::ZERO + OPTIONS.heartbeat(),
             proved: Time::ZERO,
             complete: Time::ZERO,
@@ -201,9 +201,9 @@
 
 #[test]
 fn an_answer_to_what_was_never_asked_is_refused() {
-    let mut questions = Questions::start(Time::ZERO);
+    let mut questions = Polls::start(Time::ZERO);
     assert_eq!(questions.hear(1), Err(Unasked(1)));
-    let mut questions = Questions::start(Time::ZERO);
+    let mut questions = Polls::start(Time::ZERO);
     assert_eq!((questions.ask(MS), questions.ask(MS * 2)), (1, 2));
     assert_eq!(questions.hear(2), Ok(Heard::Answer));
     assert_eq!(questions.age(MS * 5, MS), MS * 4);
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_message_that_came_by_itself_is_asked_about_once() {
-    let mut questions = Questions::start(Time::ZERO);
+    let mut questions = Polls::start(Time::ZERO);
     assert_eq!(questions.hear(0), Ok(Heard::Ask));
     questions.ask(MS);
     assert_eq!(questions.hear(0), Ok(Heard::Answer));
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -8,7 +8,7 @@
 use lentillift_core::time::Clock;
 use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
-use lentillift_fleet::follow::proof::Questions;
+use lentillift_fleet::follow::proof::Polls;
 use lentillift_fleet::follow::proof::Unasked;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 /// Questions to one origin, which end when this is dropped.
 #[derive(Debug)]
 pub(super) struct Inquiry {
-    questions: Rc<RefCell<Questions>>,
+    questions: Rc<RefCell<Polls>>,
     /// Tells that a question is due at once.
     due: watch::Sender<()>,
 }
@@ -27,7 +27,7 @@
 impl Inquiry {
     /// Asks the first question now, and then one in each `period`, in the body that is returned.
     pub(super) fn start(clock: Clock, origin: &id::Host, period: Duration) -> (Self, frame::Body) {
-        let questions = Rc::new(RefCell::new(Questions::start(clock.now())));
+        let questions = Rc::new(RefCell::new(Polls::start(clock.now())));
         let (due, is_due) = watch::channel(());
         let asking = Asking {
             clock,
@@ -67,7 +67,7 @@
     clock: Clock,
     origin: id::Host,
     period: Duration,
-    questions: Rc<RefCell<Questions>>,
+    questions: Rc<RefCell<Polls>>,
     is_due: watch::Receiver<()>,
 }
 
