--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -33,9 +33,9 @@
 
 /// A message answers a question that was never asked, or one before those that are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unasked(pub Number);
+pub struct UnexpectedAnswer(pub Number);
 
-impl std::fmt::Display for Unasked {
+impl std::fmt::Display for UnexpectedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "question {} is not open", self.0)
     }
@@ -79,10 +79,10 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub fn hear(&mut self, number: Number) -> Result<Heard, Unasked> {
+    pub fn hear(&mut self, number: Number) -> Result<Heard, UnexpectedAnswer> {
         let is_answer = number != self.last.number;
         while self.last.number != number {
-            self.last = self.open.pop_front().ok_or(Unasked(number))?;
+            self.last = self.open.pop_front().ok_or(UnexpectedAnswer(number))?;
         }
         match is_answer || !self.open.is_empty() {
             true => Ok(Heard::Answer),
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -6,7 +6,7 @@
 use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
 use lentillift_fleet::follow::proof::Polls;
-use lentillift_fleet::follow::proof::Unasked;
+use lentillift_fleet::follow::proof::UnexpectedAnswer;
 use proptest::prelude::*;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -202,12 +202,12 @@
 #[test]
 fn an_answer_to_what_was_never_asked_is_refused() {
     let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.hear(1), Err(Unasked(1)));
+    assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
     let mut questions = Polls::start(Time::ZERO);
     assert_eq!((questions.ask(MS), questions.ask(MS * 2)), (1, 2));
     assert_eq!(questions.hear(2), Ok(Heard::Answer));
     assert_eq!(questions.age(MS * 5, MS), MS * 4);
-    assert_eq!(questions.hear(1), Err(Unasked(1)));
+    assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
 }
 
 #[test]
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -9,7 +9,7 @@
 use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
 use lentillift_fleet::follow::proof::Polls;
-use lentillift_fleet::follow::proof::Unasked;
+use lentillift_fleet::follow::proof::UnexpectedAnswer;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub(super) fn hear(&self, number: Number) -> Result<(), Unasked> {
+    pub(super) fn hear(&self, number: Number) -> Result<(), UnexpectedAnswer> {
         let heard = self.questions.borrow_mut().hear(number)?;
         if heard == Heard::Ask {
             self.due.send_replace(());
