--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -24,7 +24,7 @@
 
 /// What to do after a message of an origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum Reaction {
     /// Nothing: it answers a question, or another question is under way.
     Answer,
     /// It came by itself. Asked now, the origin proves that what it tells is fresh.
@@ -79,14 +79,14 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub fn hear(&mut self, number: Number) -> Result<Heard, UnexpectedAnswer> {
+    pub fn hear(&mut self, number: Number) -> Result<Reaction, UnexpectedAnswer> {
         let is_answer = number != self.last.number;
         while self.last.number != number {
             self.last = self.open.pop_front().ok_or(UnexpectedAnswer(number))?;
         }
         match is_answer || !self.open.is_empty() {
-            true => Ok(Heard::Answer),
-            false => Ok(Heard::Ask),
+            true => Ok(Reaction::Answer),
+            false => Ok(Reaction::Ask),
         }
     }
 
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -3,9 +3,9 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::proof;
-use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
 use lentillift_fleet::follow::proof::Polls;
+use lentillift_fleet::follow::proof::Reaction;
 use lentillift_fleet::follow::proof::UnexpectedAnswer;
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -151,7 +151,7 @@
             .questions
             .hear(frame.answers)
             .expect("an open question");
-        if heard == Heard::Ask {
+        if heard == Reaction::Ask {
             state.next_question = now;
         }
         let age = state.questions.age(now, frame.age);
@@ -205,7 +205,7 @@
     assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
     let mut questions = Polls::start(Time::ZERO);
     assert_eq!((questions.ask(MS), questions.ask(MS * 2)), (1, 2));
-    assert_eq!(questions.hear(2), Ok(Heard::Answer));
+    assert_eq!(questions.hear(2), Ok(Reaction::Answer));
     assert_eq!(questions.age(MS * 5, MS), MS * 4);
     assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
 }
@@ -213,10 +213,10 @@
 #[test]
 fn a_message_that_came_by_itself_is_asked_about_once() {
     let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.hear(0), Ok(Heard::Ask));
+    assert_eq!(questions.hear(0), Ok(Reaction::Ask));
     questions.ask(MS);
-    assert_eq!(questions.hear(0), Ok(Heard::Answer));
-    assert_eq!(questions.hear(1), Ok(Heard::Answer));
+    assert_eq!(questions.hear(0), Ok(Reaction::Answer));
+    assert_eq!(questions.hear(1), Ok(Reaction::Answer));
 }
 
 #[test]
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -6,9 +6,9 @@
 use futures_util::stream;
 use lentillift_core::id;
 use lentillift_core::time::Clock;
-use lentillift_fleet::follow::proof::Heard;
 use lentillift_fleet::follow::proof::Number;
 use lentillift_fleet::follow::proof::Polls;
+use lentillift_fleet::follow::proof::Reaction;
 use lentillift_fleet::follow::proof::UnexpectedAnswer;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
     /// When that question is not open.
     pub(super) fn hear(&self, number: Number) -> Result<(), UnexpectedAnswer> {
         let heard = self.questions.borrow_mut().hear(number)?;
-        if heard == Heard::Ask {
+        if heard == Reaction::Ask {
             self.due.send_replace(());
         }
         Ok(())
