--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 
 /// Number of a question to an origin. The request to be told what is published is the first, 0.
-pub type Number = u32;
+pub type PollNumber = u32;
 
 /// A question without an answer.
 #[derive(Debug, Clone, Copy)]
 struct Question {
-    number: Number,
+    number: PollNumber,
     asked: Time,
 }
 
@@ -33,7 +33,7 @@
 
 /// A message answers a question that was never asked, or one before those that are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnexpectedAnswer(pub Number);
+pub struct UnexpectedAnswer(pub PollNumber);
 
 impl std::fmt::Display for UnexpectedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -49,7 +49,7 @@
     /// Those after it.
     // INVARIANT: Neither numbers nor times fall.
     open: VecDeque<Question>,
-    next: Number,
+    next: PollNumber,
 }
 
 impl Polls {
@@ -66,7 +66,7 @@
     }
 
     /// Asks another question now.
-    pub fn ask(&mut self, now: Time) -> Number {
+    pub fn ask(&mut self, now: Time) -> PollNumber {
         let number = self.next;
         self.next += 1;
         let asked = now;
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub fn hear(&mut self, number: Number) -> Result<Reaction, UnexpectedAnswer> {
+    pub fn hear(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
         let is_answer = number != self.last.number;
         while self.last.number != number {
             self.last = self.open.pop_front().ok_or(UnexpectedAnswer(number))?;
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -3,7 +3,7 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::proof;
-use lentillift_fleet::follow::proof::Number;
+use lentillift_fleet::follow::proof::PollNumber;
 use lentillift_fleet::follow::proof::Polls;
 use lentillift_fleet::follow::proof::Reaction;
 use lentillift_fleet::follow::proof::UnexpectedAnswer;
@@ -22,7 +22,7 @@
 /// What an origin tells.
 #[derive(Debug, Clone, Copy)]
 struct Frame {
-    answers: Number,
+    answers: PollNumber,
     age: Duration,
     /// Time up to which the origin knew everything, which no host is told.
     complete: Time,
@@ -38,8 +38,8 @@
     /// What that time is in truth.
     complete: Time,
     /// The last question of its follower that has arrived.
-    asked: Number,
-    there: Flight<Number>,
+    asked: PollNumber,
+    there: Flight<PollNumber>,
     back: Flight<Frame>,
 }
 
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -6,7 +6,7 @@
 use futures_util::stream;
 use lentillift_core::id;
 use lentillift_core::time::Clock;
-use lentillift_fleet::follow::proof::Number;
+use lentillift_fleet::follow::proof::PollNumber;
 use lentillift_fleet::follow::proof::Polls;
 use lentillift_fleet::follow::proof::Reaction;
 use lentillift_fleet::follow::proof::UnexpectedAnswer;
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub(super) fn hear(&self, number: Number) -> Result<(), UnexpectedAnswer> {
+    pub(super) fn hear(&self, number: PollNumber) -> Result<(), UnexpectedAnswer> {
         let heard = self.questions.borrow_mut().hear(number)?;
         if heard == Reaction::Ask {
             self.due.send_replace(());
--- a/crates/lentillift-gateway/src/feed/tell.rs
+++ b/crates/lentillift-gateway/src/feed/tell.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use lentillift_core::error::Result;
 use lentillift_core::id;
-use lentillift_fleet::follow::proof::Number;
+use lentillift_fleet::follow::proof::PollNumber;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -58,7 +58,7 @@
     stage: watch::Receiver<Stage>,
     questions: Option<Reader<Question>>,
     /// The last question that has arrived.
-    answers: Number,
+    answers: PollNumber,
     first: bool,
 }
 
