--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// When that question is not open.
-    pub fn hear(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
+    pub fn receive(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
         let is_answer = number != self.last.number;
         while self.last.number != number {
             self.last = self.open.pop_front().ok_or(UnexpectedAnswer(number))?;
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -149,7 +149,7 @@
         let state = &mut self.hosts[host];
         let heard = state
             .questions
-            .hear(frame.answers)
+            .receive(frame.answers)
             .expect("an open question");
         if heard == Reaction::Ask {
             state.next_question = now;
@@ -202,21 +202,21 @@
 #[test]
 fn an_answer_to_what_was_never_asked_is_refused() {
     let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
+    assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
     let mut questions = Polls::start(Time::ZERO);
     assert_eq!((questions.ask(MS), questions.ask(MS * 2)), (1, 2));
-    assert_eq!(questions.hear(2), Ok(Reaction::Answer));
+    assert_eq!(questions.receive(2), Ok(Reaction::Answer));
     assert_eq!(questions.age(MS * 5, MS), MS * 4);
-    assert_eq!(questions.hear(1), Err(UnexpectedAnswer(1)));
+    assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
 }
 
 #[test]
 fn a_message_that_came_by_itself_is_asked_about_once() {
     let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.hear(0), Ok(Reaction::Ask));
+    assert_eq!(questions.receive(0), Ok(Reaction::Ask));
     questions.ask(MS);
-    assert_eq!(questions.hear(0), Ok(Reaction::Answer));
-    assert_eq!(questions.hear(1), Ok(Reaction::Answer));
+    assert_eq!(questions.receive(0), Ok(Reaction::Answer));
+    assert_eq!(questions.receive(1), Ok(Reaction::Answer));
 }
 
 #[test]
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -49,7 +49,7 @@
     ///
     /// When that question is not open.
     pub(super) fn hear(&self, number: PollNumber) -> Result<(), UnexpectedAnswer> {
-        let heard = self.questions.borrow_mut().hear(number)?;
+        let heard = self.questions.borrow_mut().receive(number)?;
         if heard == Reaction::Ask {
             self.due.send_replace(());
         }
