--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -66,7 +66,7 @@
     }
 
     /// Asks another question now.
-    pub fn ask(&mut self, now: Time) -> PollNumber {
+    pub fn send(&mut self, now: Time) -> PollNumber {
         let number = self.next;
         self.next += 1;
         let asked = now;
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -127,7 +127,7 @@
             return;
         }
         self.hosts[host].next_question = self.now + OPTIONS.heartbeat();
-        let number = self.hosts[host].questions.ask(self.now);
+        let number = self.hosts[host].questions.send(self.now);
         let due = self.arrival(host, |host| &host.there);
         self.hosts[host].there.push_back((due, number));
     }
@@ -204,7 +204,7 @@
     let mut questions = Polls::start(Time::ZERO);
     assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
     let mut questions = Polls::start(Time::ZERO);
-    assert_eq!((questions.ask(MS), questions.ask(MS * 2)), (1, 2));
+    assert_eq!((questions.send(MS), questions.send(MS * 2)), (1, 2));
     assert_eq!(questions.receive(2), Ok(Reaction::Answer));
     assert_eq!(questions.age(MS * 5, MS), MS * 4);
     assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
@@ -214,7 +214,7 @@
 fn a_message_that_came_by_itself_is_asked_about_once() {
     let mut questions = Polls::start(Time::ZERO);
     assert_eq!(questions.receive(0), Ok(Reaction::Ask));
-    questions.ask(MS);
+    questions.send(MS);
     assert_eq!(questions.receive(0), Ok(Reaction::Answer));
     assert_eq!(questions.receive(1), Ok(Reaction::Answer));
 }
--- a/crates/lentillift-gateway/src/feed/ask.rs
+++ b/crates/lentillift-gateway/src/feed/ask.rs
@@ -78,7 +78,7 @@
             due = self.is_due.changed() => due.ok()?,
             () = tokio::time::sleep(self.period) => {}
         }
-        let number = self.questions.borrow_mut().ask(self.clock.now());
+        let number = self.questions.borrow_mut().send(self.clock.now());
         match frame::frame(&notice::Question { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
