--- a/crates/lentillift-fleet/src/follow/search.rs
+++ b/crates/lentillift-fleet/src/follow/search.rs
@@ -35,7 +35,7 @@
 
 /// Why an origin was left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum LeaveReason {
     /// It failed, or its knowledge can't be relied on.
     Failed,
     /// The best one should be tried again.
@@ -84,13 +84,13 @@
     }
 
     /// Notes that `origin` was left.
-    pub fn left(&mut self, origin: &Origin, left: Left, now: Time) {
+    pub fn left(&mut self, origin: &Origin, left: LeaveReason, now: Time) {
         match left {
-            Left::Again => {
+            LeaveReason::Again => {
                 self.failed.clear();
                 self.round = 0;
             }
-            Left::Failed => {
+            LeaveReason::Failed => {
                 if *origin == Origin::Service {
                     self.service_failed = Some(now);
                 }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -8,7 +8,7 @@
 use lentillift_fleet::follow::FANOUT;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::search::Left;
+use lentillift_fleet::follow::search::LeaveReason;
 use lentillift_fleet::follow::search::Next;
 use lentillift_fleet::follow::search::Search;
 use lentillift_fleet::follow::search::Urgency;
@@ -206,12 +206,12 @@
         };
     }
 
-    fn leave(&mut self, node: usize, origin: &Origin, left: Left) {
+    fn leave(&mut self, node: usize, origin: &Origin, left: LeaveReason) {
         let now = self.now;
-        self.failed += u64::from(left == Left::Failed);
+        self.failed += u64::from(left == LeaveReason::Failed);
         let state = &mut self.nodes[node];
         state.search.left(origin, left, now);
-        if *origin == Origin::Service && left == Left::Failed {
+        if *origin == Origin::Service && left == LeaveReason::Failed {
             state.steady = false;
             state.changed += 1;
         }
@@ -226,20 +226,20 @@
         if self.reach(node, host) {
             self.hear(node, host, until);
         } else if self.now >= by {
-            self.leave(node, &origin, Left::Failed);
+            self.leave(node, &origin, LeaveReason::Failed);
         }
     }
 
     fn read(&mut self, node: usize, until: Option<Time>) {
         if self.turned_away[node] {
-            return self.leave(node, &Origin::Service, Left::Failed);
+            return self.leave(node, &Origin::Service, LeaveReason::Failed);
         }
         let over = match until {
             Some(until) => self.now >= until,
             None => self.order(node).first() != Some(&Origin::Service),
         };
         if over {
-            return self.leave(node, &Origin::Service, Left::Again);
+            return self.leave(node, &Origin::Service, LeaveReason::Again);
         }
         let (now, revision) = (self.now, self.revision);
         let state = &mut self.nodes[node];
@@ -270,15 +270,15 @@
             None => self.order(node).first() != Some(&origin),
         };
         if over {
-            return self.leave(node, &origin, Left::Again);
+            return self.leave(node, &origin, LeaveReason::Again);
         }
         let age = self.nodes[node].proved.map(|proved| self.now - proved);
         if age.is_some_and(|age| age > OPTIONS.max_age()) {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
         if !self.reach(node, host) {
             if self.now >= heard + OPTIONS.frame_timeout() {
-                self.leave(node, &origin, Left::Failed);
+                self.leave(node, &origin, LeaveReason::Failed);
             }
             return;
         }
@@ -295,7 +295,7 @@
         let (revision, proved) = (teller.revision, teller.proved);
         let (steady, seen) = (teller.steady, teller.changed);
         let Ok(way) = way else {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         };
         let now = self.now;
         let state = &mut self.nodes[node];
@@ -304,7 +304,7 @@
         state.revision = state.revision.max(revision);
         state.proved = state.proved.max(proved);
         if !steady {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
         state.way = way;
         state.steady = true;
@@ -313,7 +313,7 @@
             .proved
             .is_none_or(|proved| now > proved + OPTIONS.max_age())
         {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
         state.task = Task::Follow {
             host,
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -80,7 +80,7 @@
         };
         host.origin.replace(None);
         let Left::Failed(error) = left else {
-            search.left(&origin, search::Left::Again, host.now());
+            search.left(&origin, search::LeaveReason::Again, host.now());
             continue;
         };
         host.board.count(metric::ORIGINS_LOST, kind(&origin));
@@ -91,7 +91,7 @@
             age_ms = host.age().map_or(0, |age| age.as_millis() as u64),
             "lost"
         );
-        search.left(&origin, search::Left::Failed, host.now());
+        search.left(&origin, search::LeaveReason::Failed, host.now());
         if origin == Origin::Service {
             host.note_away(Duration::ZERO);
             // Followers would find out by the age of its knowledge, two thirds of the bound later.
