--- a/crates/lentillift-fleet/src/follow/way.rs
+++ b/crates/lentillift-fleet/src/follow/way.rs
@@ -15,7 +15,7 @@
 /// Hosts over which knowledge came, the reader first.
 // INVARIANT: No host stands in it twice, and it is not longer than `MOST`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct RelayPath {
     hosts: Vec<id::Host>,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-impl Way {
+impl RelayPath {
     /// The way of a host that reads the service.
     pub fn reader(me: &id::Host) -> Self {
         Self {
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -14,7 +14,7 @@
 use lentillift_fleet::follow::search::Urgency;
 use lentillift_fleet::follow::way::MOST;
 use lentillift_fleet::follow::way::Refused;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::way::RelayPath;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -56,7 +56,7 @@
     me: Candidate,
     search: Search,
     task: Task,
-    way: Way,
+    way: RelayPath,
     steady: bool,
     proved: Option<Time>,
     revision: u64,
@@ -98,7 +98,7 @@
             task: Task::Search {
                 at: Time::ZERO + start(place),
             },
-            way: Way::default(),
+            way: RelayPath::default(),
             steady: true,
             proved: None,
             revision: 0,
@@ -243,7 +243,7 @@
         }
         let (now, revision) = (self.now, self.revision);
         let state = &mut self.nodes[node];
-        let way = Way::reader(&state.me.host);
+        let way = RelayPath::reader(&state.me.host);
         let is_quiet = state.revision == revision;
         // A watch returns with each change, and else after its time.
         let returned = state
@@ -291,7 +291,7 @@
     fn hear(&mut self, node: usize, host: usize, until: Option<Time>) {
         let teller = &self.nodes[host];
         let origin = Origin::Host(teller.me.host.clone());
-        let way = Way::through(teller.way.hosts(), &self.nodes[node].me.host);
+        let way = RelayPath::through(teller.way.hosts(), &self.nodes[node].me.host);
         let (revision, proved) = (teller.revision, teller.proved);
         let (steady, seen) = (teller.steady, teller.changed);
         let Ok(way) = way else {
@@ -484,12 +484,12 @@
 fn a_way_over_oneself_or_beyond_reason_is_refused() {
     let host = |number: usize| -> id::Host { format!("h{number}").as_str().into() };
     let long: Vec<id::Host> = (0..MOST).map(host).collect();
-    let way = Way::through(&long[..2], &host(7)).expect("a way of three");
+    let way = RelayPath::through(&long[..2], &host(7)).expect("a way of three");
     assert_eq!(way.hosts(), [host(0), host(1), host(7)]);
-    assert_eq!(Way::through(&long[..2], &host(1)), Err(Refused::Ring));
-    assert_eq!(Way::through(&long, &host(77)), Err(Refused::TooLong));
+    assert_eq!(RelayPath::through(&long[..2], &host(1)), Err(Refused::Ring));
+    assert_eq!(RelayPath::through(&long, &host(77)), Err(Refused::TooLong));
     assert_eq!(
-        Way::through(&[host(1), host(1)], &host(2)),
+        RelayPath::through(&[host(1), host(1)], &host(2)),
         Err(Refused::Repeated)
     );
 }
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -20,7 +20,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Clock;
 use lentillift_fleet::follow;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::way::RelayPath;
 use lentillift_fleet::member::Member;
 use lentillift_fleet::probe;
 use lentillift_fleet::swim::Swim;
@@ -232,7 +232,7 @@
         news: settings.news,
         steady: Cell::new(true),
         origin: RefCell::new(None),
-        way: RefCell::new(Way::default()),
+        way: RefCell::new(RelayPath::default()),
         roster: RefCell::new(Roster::default()),
         quarantine_changed: Notify::new(),
         delays: RefCell::new(Delays::default()),
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -24,7 +24,7 @@
 use lentillift_fleet::follow::search;
 use lentillift_fleet::follow::search::Next;
 use lentillift_fleet::follow::search::Search;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::way::RelayPath;
 use lentillift_scatter::switch::Mechanism;
 use rand::Rng;
 use std::rc::Rc;
@@ -249,7 +249,7 @@
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
     let told: Vec<id::Host> = frame.way.iter().map(|host| host.as_str().into()).collect();
-    let way = Way::through(&told, &host.name).map_err(|refused| fail(&refused))?;
+    let way = RelayPath::through(&told, &host.name).map_err(|refused| fail(&refused))?;
     let heard = inquiry.hear(frame.answers);
     heard.map_err(|unasked| fail(&unasked))?;
     let is_proved = host.is_on(Mechanism::Proofs);
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -14,7 +14,7 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Origin;
 use lentillift_fleet::follow::proof;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::way::RelayPath;
 use lentillift_scatter::source::News;
 use std::time::Duration;
 use tracing::info;
@@ -49,7 +49,7 @@
         let quiet = matches!(&news, News::Changes { items, .. } if items.is_empty());
         host.learn(Some(news), age);
         host.steady.set(true);
-        host.take_way(Way::reader(&host.name));
+        host.take_way(RelayPath::reader(&host.name));
         if !quiet {
             tokio::time::sleep(host.news.pause()).await;
         }
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -14,7 +14,7 @@
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Admission;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::way::RelayPath;
 use lentillift_fleet::swim::Swim;
 use lentillift_scatter::catalog::Catalog;
 use lentillift_scatter::catalog::Change;
@@ -101,7 +101,7 @@
     pub origin: RefCell<Option<Origin>>,
     /// Hosts over which what is believed came. Kept while another origin is looked for, so that
     /// followers of this host are not taken for one.
-    pub way: RefCell<Way>,
+    pub way: RefCell<RelayPath>,
     /// The hosts that bounds of the whole fleet are shared with.
     pub roster: RefCell<Roster>,
     /// Tells that other hosts should hear something of requests under which servers ended.
@@ -198,7 +198,7 @@
 
     /// Notes over which hosts what is believed comes, and tells followers at once if that changes: one of
     /// them may find itself on it.
-    pub fn take_way(&self, way: Way) {
+    pub fn take_way(&self, way: RelayPath) {
         if *self.way.borrow() != way {
             self.way.replace(way);
             self.changed.send_modify(|count| *count += 1);
