--- a/crates/lentillift-fleet/src/follow/way.rs
+++ b/crates/lentillift-fleet/src/follow/way.rs
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// When `told` leads over `me` or can't be the way of anything.
-    pub fn through(told: &[id::Host], me: &id::Host) -> Result<Self, Refused> {
+    pub fn extend(told: &[id::Host], me: &id::Host) -> Result<Self, Refused> {
         if told.len() >= MOST {
             return Err(Refused::TooLong);
         }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -291,7 +291,7 @@
     fn hear(&mut self, node: usize, host: usize, until: Option<Time>) {
         let teller = &self.nodes[host];
         let origin = Origin::Host(teller.me.host.clone());
-        let way = RelayPath::through(teller.way.hosts(), &self.nodes[node].me.host);
+        let way = RelayPath::extend(teller.way.hosts(), &self.nodes[node].me.host);
         let (revision, proved) = (teller.revision, teller.proved);
         let (steady, seen) = (teller.steady, teller.changed);
         let Ok(way) = way else {
@@ -484,12 +484,12 @@
 fn a_way_over_oneself_or_beyond_reason_is_refused() {
     let host = |number: usize| -> id::Host { format!("h{number}").as_str().into() };
     let long: Vec<id::Host> = (0..MOST).map(host).collect();
-    let way = RelayPath::through(&long[..2], &host(7)).expect("a way of three");
+    let way = RelayPath::extend(&long[..2], &host(7)).expect("a way of three");
     assert_eq!(way.hosts(), [host(0), host(1), host(7)]);
-    assert_eq!(RelayPath::through(&long[..2], &host(1)), Err(Refused::Ring));
-    assert_eq!(RelayPath::through(&long, &host(77)), Err(Refused::TooLong));
+    assert_eq!(RelayPath::extend(&long[..2], &host(1)), Err(Refused::Ring));
+    assert_eq!(RelayPath::extend(&long, &host(77)), Err(Refused::TooLong));
     assert_eq!(
-        RelayPath::through(&[host(1), host(1)], &host(2)),
+        RelayPath::extend(&[host(1), host(1)], &host(2)),
         Err(Refused::Repeated)
     );
 }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -249,7 +249,7 @@
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
     let told: Vec<id::Host> = frame.way.iter().map(|host| host.as_str().into()).collect();
-    let way = RelayPath::through(&told, &host.name).map_err(|refused| fail(&refused))?;
+    let way = RelayPath::extend(&told, &host.name).map_err(|refused| fail(&refused))?;
     let heard = inquiry.hear(frame.answers);
     heard.map_err(|unasked| fail(&unasked))?;
     let is_proved = host.is_on(Mechanism::Proofs);
