--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -18,7 +18,7 @@
 mod proven;
 mod record;
 
-pub use account::Account;
+pub use account::SharedRecord;
 pub use account::State;
 
 use crate::rendezvous;
@@ -207,7 +207,7 @@
     }
 
     /// Takes in what another host holds; says how much of it was new.
-    pub fn hear(&mut self, options: &Options, accounts: &[Account], now: Time) -> usize {
+    pub fn hear(&mut self, options: &Options, accounts: &[SharedRecord], now: Time) -> usize {
         let mut new = 0;
         for account in accounts {
             self.make_room(options, account.fingerprint, now);
@@ -225,7 +225,7 @@
     }
 
     /// What has changed since this was last asked for.
-    pub fn news(&mut self, now: Time) -> Vec<Account> {
+    pub fn news(&mut self, now: Time) -> Vec<SharedRecord> {
         self.has_news = false;
         let records = self.records.iter_mut();
         let changed = records.filter_map(|(fingerprint, record)| {
@@ -236,9 +236,9 @@
     }
 
     /// What is held of `most` requests; the latest first.
-    pub fn accounts(&self, most: usize, now: Time) -> Vec<Account> {
+    pub fn accounts(&self, most: usize, now: Time) -> Vec<SharedRecord> {
         let records = self.records.iter();
-        let mut accounts: Vec<Account> = records
+        let mut accounts: Vec<SharedRecord> = records
             .map(|(fingerprint, record)| record.account(*fingerprint, now))
             .collect();
         accounts.sort_by_key(|account| account.age);
@@ -247,7 +247,7 @@
     }
 
     /// What is held of one request.
-    pub fn account(&self, fingerprint: Fingerprint, now: Time) -> Option<Account> {
+    pub fn account(&self, fingerprint: Fingerprint, now: Time) -> Option<SharedRecord> {
         let record = self.records.get(&fingerprint)?;
         Some(record.account(fingerprint, now))
     }
--- a/crates/lentillift-fleet/src/quarantine/account.rs
+++ b/crates/lentillift-fleet/src/quarantine/account.rs
@@ -22,7 +22,7 @@
 
 /// What a host holds of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Account {
+pub struct SharedRecord {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Times that it was cleared; of two accounts the later generation holds.
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -5,11 +5,11 @@
 //! two of the same generation are joined. Told by ages, a doubt and its end followed each other round the fleet
 //! for ever, each a little newer by the time that it took on its way.
 
-use super::Account;
 use super::End;
 use super::FOREVER;
 use super::Options;
 use super::Process;
+use super::SharedRecord;
 use super::State;
 use super::Verdict;
 use lentillift_core::fingerprint::Fingerprint;
@@ -142,7 +142,7 @@
         &mut self,
         options: &Options,
         canary_ends: usize,
-        account: &Account,
+        account: &SharedRecord,
         now: Time,
     ) -> bool {
         if account.generation < self.generation {
@@ -191,7 +191,7 @@
         is_news
     }
 
-    pub(super) fn account(&self, fingerprint: Fingerprint, now: Time) -> Account {
+    pub(super) fn account(&self, fingerprint: Fingerprint, now: Time) -> SharedRecord {
         let state = match self.stage {
             Stage::Open if self.ends.is_empty() => State::Cleared,
             Stage::Open => State::Suspect,
@@ -200,7 +200,7 @@
                 trials,
             },
         };
-        Account {
+        SharedRecord {
             fingerprint,
             generation: self.generation,
             ends: self.ends.clone(),
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -2,11 +2,11 @@
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
 use lentillift_fleet::quarantine::Admission;
 use lentillift_fleet::quarantine::End;
 use lentillift_fleet::quarantine::Options;
 use lentillift_fleet::quarantine::Process;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::State;
 use lentillift_fleet::quarantine::Table;
 use lentillift_fleet::quarantine::Verdict;
@@ -169,9 +169,9 @@
     let mut table = quarantined();
     let old = table.accounts(10, NOON);
     assert!(table.lift(fatal(), NOON + MS));
-    let later: Vec<Account> = old
+    let later: Vec<SharedRecord> = old
         .into_iter()
-        .map(|account| Account {
+        .map(|account| SharedRecord {
             age: account.age + MS * 50,
             ..account
         })
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -20,7 +20,7 @@
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
 use lentillift_core::error::Step;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::State;
 use rand::seq::IteratorRandom;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 }
 
 /// Time until the next exchange, by the latest of what is held.
-pub fn period(latest: &[Account], has_joined: bool) -> Duration {
+pub fn period(latest: &[SharedRecord], has_joined: bool) -> Duration {
     let is_recent = latest.iter().any(|account| account.age < RECENT);
     match is_recent || !has_joined {
         true => SHORT_PERIOD,
@@ -135,7 +135,7 @@
 }
 
 /// Tells a host, and hears what it holds; says whether it answered.
-async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<Account>) -> bool
+async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<SharedRecord>) -> bool
 where
     D: Dialect,
     S: Source,
@@ -160,7 +160,7 @@
 async fn call<D, S>(
     host: &Host<D, S>,
     peer: SocketAddr,
-    accounts: &[Account],
+    accounts: &[SharedRecord],
 ) -> Result<wire::Message>
 where
     D: Dialect,
@@ -181,7 +181,7 @@
 }
 
 /// What is young, if anything is; the rest has reached nearly all hosts and is told in calm times.
-pub fn worth_telling(mut held: Vec<Account>) -> Vec<Account> {
+pub fn worth_telling(mut held: Vec<SharedRecord>) -> Vec<SharedRecord> {
     if held.iter().any(|account| account.age < RECENT) {
         held.retain(|account| account.age < RECENT);
     }
@@ -211,7 +211,7 @@
 
 /// Takes in what another host holds; what is new is passed on.
 pub(crate) fn hear<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
-    let accounts: Vec<Account> = accounts.iter().map(Account::from).collect();
+    let accounts: Vec<SharedRecord> = accounts.iter().map(SharedRecord::from).collect();
     let now = host.clock.now();
     let new = host.core.borrow_mut().hear(&accounts, now);
     if new > 0 {
@@ -274,7 +274,7 @@
 }
 
 /// Logs what is decided of a request.
-fn tell<D, S>(host: &Host<D, S>, account: &Account) {
+fn tell<D, S>(host: &Host<D, S>, account: &SharedRecord) {
     let state = name(account.state);
     host.board.count(metric::QUARANTINE, state);
     info!(
--- a/crates/lentillift-gateway/src/quarantine/wire.rs
+++ b/crates/lentillift-gateway/src/quarantine/wire.rs
@@ -44,16 +44,16 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl From<&[quarantine::Account]> for Message {
-    fn from(accounts: &[quarantine::Account]) -> Self {
+impl From<&[quarantine::SharedRecord]> for Message {
+    fn from(accounts: &[quarantine::SharedRecord]) -> Self {
         Self {
             accounts: accounts.iter().map(Account::from).collect(),
         }
     }
 }
 
-impl From<&quarantine::Account> for Account {
-    fn from(account: &quarantine::Account) -> Self {
+impl From<&quarantine::SharedRecord> for Account {
+    fn from(account: &quarantine::SharedRecord) -> Self {
         Self {
             fingerprint: account.fingerprint.0,
             generation: account.generation,
@@ -65,7 +65,7 @@
     }
 }
 
-impl From<&Account> for quarantine::Account {
+impl From<&Account> for quarantine::SharedRecord {
     fn from(account: &Account) -> Self {
         Self {
             fingerprint: Fingerprint(account.fingerprint),
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -18,7 +18,7 @@
 use futures_util::FutureExt;
 use futures_util::StreamExt;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_scatter::leg::Target;
 use lentillift_scatter::outcome::Next;
 use lentillift_scatter::outcome::Outcome;
@@ -323,7 +323,7 @@
     }
 
     /// What is held of this request.
-    pub fn account(&self) -> Option<Account> {
+    pub fn account(&self) -> Option<SharedRecord> {
         let core = self.host.core.borrow();
         core.quarantine
             .account(self.message.fingerprint, self.host.now())
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -2,9 +2,9 @@
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
 use lentillift_fleet::quarantine::End;
 use lentillift_fleet::quarantine::Options;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::Table;
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_gateway::quarantine::FANOUT;
@@ -35,7 +35,7 @@
     rng: StdRng,
     hosts: Vec<Table>,
     /// Messages on their way, by when they arrive.
-    ways: BTreeMap<(Time, u64), (usize, Vec<Account>)>,
+    ways: BTreeMap<(Time, u64), (usize, Vec<SharedRecord>)>,
     sent: u64,
     /// Part of the messages that are lost.
     loss: f64,
@@ -59,7 +59,7 @@
         host < self.cut.0 && now < self.cut.1
     }
 
-    fn send(&mut self, from: usize, to: usize, accounts: Vec<Account>, now: Time) {
+    fn send(&mut self, from: usize, to: usize, accounts: Vec<SharedRecord>, now: Time) {
         self.sent += 1;
         let is_lost = self.rng.random_bool(self.loss);
         if is_lost || self.is_cut(from, now) || self.is_cut(to, now) {
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -407,7 +407,7 @@
     }
 
     /// Takes in what another host holds of requests under which servers ended; says how much was new.
-    pub fn hear(&mut self, accounts: &[quarantine::Account], now: Time) -> usize {
+    pub fn hear(&mut self, accounts: &[quarantine::SharedRecord], now: Time) -> usize {
         if !self.options.switches.is_on(Mechanism::Quarantine) {
             return 0;
         }
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -11,7 +11,7 @@
 use common::server;
 use common::view;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_scatter::caller::Caller;
 use lentillift_scatter::config::Kind;
@@ -82,7 +82,7 @@
     },
     Hear {
         host: usize,
-        accounts: Vec<Account>,
+        accounts: Vec<SharedRecord>,
     },
 }
 
