--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -207,7 +207,7 @@
     }
 
     /// Takes in what another host holds; says how much of it was new.
-    pub fn hear(&mut self, options: &Options, accounts: &[SharedRecord], now: Time) -> usize {
+    pub fn merge(&mut self, options: &Options, accounts: &[SharedRecord], now: Time) -> usize {
         let mut new = 0;
         for account in accounts {
             self.make_room(options, account.fingerprint, now);
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -131,7 +131,7 @@
     for trial in 0..options.trials {
         now += options.hold * 2_u32.pow(trial);
         assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
-        other.hear(&options, &table.news(now), now);
+        other.merge(&options, &table.news(now), now);
         for host in [&mut table, &mut other] {
             let admission = host.admit(&options, fatal(), now + MS);
             assert!(matches!(admission, Admission::Refuse(_)), "{admission:?}");
@@ -151,11 +151,11 @@
     let options = Options::default();
     let mut table = quarantined();
     let mut other = Table::default();
-    other.hear(&options, &table.news(NOON), NOON);
+    other.merge(&options, &table.news(NOON), NOON);
     let now = NOON + options.hold;
     assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
     learn(&mut table, &[Answered], now + MS);
-    other.hear(&options, &table.news(now + MS), now + MS);
+    other.merge(&options, &table.news(now + MS), now + MS);
     for host in [&mut table, &mut other] {
         let admission = host.admit(&options, fatal(), now + MS);
         assert_eq!(admission, Admission::Serve);
@@ -176,7 +176,7 @@
             ..account
         })
         .collect();
-    assert_eq!(table.hear(&options, &later, NOON + MS * 50), 0);
+    assert_eq!(table.merge(&options, &later, NOON + MS * 50), 0);
     assert_eq!(table.verdict(fatal(), NOON + MS * 50), Verdict::Clear);
 }
 
@@ -196,7 +196,7 @@
             learn(&mut hosts[1], &[Answered], now);
         }
         for to in (0..hosts.len()).filter(|to| *to != from) {
-            hosts[to].hear(&options, &news, now);
+            hosts[to].merge(&options, &news, now);
             messages += 1;
         }
         assert!(messages < 100, "{hosts:?}");
@@ -264,7 +264,7 @@
         let twice: Vec<_> = everyone.clone().chain(everyone).collect();
         for (from, to) in order.into_iter().chain(twice) {
             let accounts = hosts[from].accounts(usize::MAX, NOON);
-            hosts[to].hear(&options, &accounts, NOON);
+            hosts[to].merge(&options, &accounts, NOON);
         }
         let all: Vec<Event> = seen.concat();
         let one = table(&all).verdict(fatal(), NOON);
@@ -282,7 +282,7 @@
         for (n, process) in events.into_iter().enumerate() {
             learn(&mut hosts[n % 2], &[CanaryEnds(process)], NOON);
             let accounts = hosts[n % 2].accounts(10, NOON);
-            hosts[(n + 1) % 2].hear(&options, &accounts, NOON);
+            hosts[(n + 1) % 2].merge(&options, &accounts, NOON);
         }
         for host in &hosts {
             let verdict = host.verdict(fatal(), NOON);
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -110,7 +110,7 @@
             now += MS;
             while let Some(way) = self.ways.first_entry().filter(|way| way.key().0 <= now) {
                 let (host, accounts) = way.remove();
-                self.hosts[host].hear(&Options::default(), &accounts, now);
+                self.hosts[host].merge(&Options::default(), &accounts, now);
             }
             for host in 0..self.hosts.len() {
                 self.push(host, now);
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -412,7 +412,7 @@
             return 0;
         }
         self.quarantine
-            .hear(&self.options.quarantine, accounts, now)
+            .merge(&self.options.quarantine, accounts, now)
     }
 
     /// Forgets what is known of requests and led to nothing.
