--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -225,7 +225,7 @@
     }
 
     /// What has changed since this was last asked for.
-    pub fn news(&mut self, now: Time) -> Vec<SharedRecord> {
+    pub fn take_updates(&mut self, now: Time) -> Vec<SharedRecord> {
         self.has_news = false;
         let records = self.records.iter_mut();
         let changed = records.filter_map(|(fingerprint, record)| {
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -131,7 +131,7 @@
     for trial in 0..options.trials {
         now += options.hold * 2_u32.pow(trial);
         assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
-        other.merge(&options, &table.news(now), now);
+        other.merge(&options, &table.take_updates(now), now);
         for host in [&mut table, &mut other] {
             let admission = host.admit(&options, fatal(), now + MS);
             assert!(matches!(admission, Admission::Refuse(_)), "{admission:?}");
@@ -151,11 +151,11 @@
     let options = Options::default();
     let mut table = quarantined();
     let mut other = Table::default();
-    other.merge(&options, &table.news(NOON), NOON);
+    other.merge(&options, &table.take_updates(NOON), NOON);
     let now = NOON + options.hold;
     assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
     learn(&mut table, &[Answered], now + MS);
-    other.merge(&options, &table.news(now + MS), now + MS);
+    other.merge(&options, &table.take_updates(now + MS), now + MS);
     for host in [&mut table, &mut other] {
         let admission = host.admit(&options, fatal(), now + MS);
         assert_eq!(admission, Admission::Serve);
@@ -190,7 +190,7 @@
     let mut now = NOON;
     let mut messages = 0;
     while let Some(from) = hosts.iter().position(Table::has_news) {
-        let news = hosts[from].news(now);
+        let news = hosts[from].take_updates(now);
         now += MS * 5;
         if messages == 2 {
             learn(&mut hosts[1], &[Answered], now);
@@ -211,7 +211,7 @@
 #[test]
 fn a_doubt_that_was_not_told_ends_without_a_word() {
     let mut table = table(&[Ends(1), Answered]);
-    assert!(table.news(NOON).is_empty());
+    assert!(table.take_updates(NOON).is_empty());
 }
 
 /// A caller that sends thousands of different requests which end servers would take all memory.
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -96,7 +96,7 @@
     S: Source,
 {
     tokio::time::sleep(GATHER).await;
-    let mut news = host.core.borrow_mut().quarantine.news(host.now());
+    let mut news = host.core.borrow_mut().quarantine.take_updates(host.now());
     news.iter().for_each(|account| tell(host, account));
     // What is decided goes first.
     news.sort_by_key(|account| account.state == State::Suspect);
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -78,7 +78,7 @@
         if !self.hosts[host].has_news() {
             return;
         }
-        let news = self.hosts[host].news(now);
+        let news = self.hosts[host].take_updates(now);
         for other in self.others(host, FANOUT) {
             self.send(host, other, news.clone(), now);
         }
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -343,7 +343,7 @@
         if !self.hosts[from].quarantine.has_news() {
             return;
         }
-        let accounts = self.hosts[from].quarantine.news(self.now);
+        let accounts = self.hosts[from].quarantine.take_updates(self.now);
         for host in (0..HOSTS).filter(|host| *host != from) {
             let way = self.rng.random_range(MS * 5..MS * 30);
             let accounts = accounts.clone();
