--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -220,7 +220,7 @@
     }
 
     /// Whether others should be told something.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         self.has_news
     }
 
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -189,7 +189,7 @@
     learn(&mut hosts[0], &[Ends(1)], NOON);
     let mut now = NOON;
     let mut messages = 0;
-    while let Some(from) = hosts.iter().position(Table::has_news) {
+    while let Some(from) = hosts.iter().position(Table::has_updates) {
         let news = hosts[from].take_updates(now);
         now += MS * 5;
         if messages == 2 {
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -317,7 +317,7 @@
 
     /// Has other hosts told what this request has shown of itself.
     fn tell_quarantine(&self) {
-        if self.host.core.borrow().quarantine.has_news() {
+        if self.host.core.borrow().quarantine.has_updates() {
             self.host.quarantine_changed.notify_one();
         }
     }
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -75,7 +75,7 @@
     }
 
     fn push(&mut self, host: usize, now: Time) {
-        if !self.hosts[host].has_news() {
+        if !self.hosts[host].has_updates() {
             return;
         }
         let news = self.hosts[host].take_updates(now);
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -340,7 +340,7 @@
     }
 
     fn gossip(&mut self, from: usize) {
-        if !self.hosts[from].quarantine.has_news() {
+        if !self.hosts[from].quarantine.has_updates() {
             return;
         }
         let accounts = self.hosts[from].quarantine.take_updates(self.now);
