--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -236,7 +236,7 @@
     }
 
     /// What is held of `most` requests; the latest first.
-    pub fn accounts(&self, most: usize, now: Time) -> Vec<SharedRecord> {
+    pub fn shared_records(&self, most: usize, now: Time) -> Vec<SharedRecord> {
         let records = self.records.iter();
         let mut accounts: Vec<SharedRecord> = records
             .map(|(fingerprint, record)| record.account(*fingerprint, now))
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -167,7 +167,7 @@
 fn late_news_does_not_bring_a_lifted_quarantine_back() {
     let options = Options::default();
     let mut table = quarantined();
-    let old = table.accounts(10, NOON);
+    let old = table.shared_records(10, NOON);
     assert!(table.lift(fatal(), NOON + MS));
     let later: Vec<SharedRecord> = old
         .into_iter()
@@ -230,7 +230,10 @@
         let path = format!("/{n}");
         table.ended(&options, fingerprint(&path), end, NOON + MS);
     }
-    assert_eq!(table.accounts(usize::MAX, NOON).len(), options.records);
+    assert_eq!(
+        table.shared_records(usize::MAX, NOON).len(),
+        options.records
+    );
     assert!(matches!(
         table.verdict(fatal(), NOON),
         Verdict::Quarantined(_)
@@ -242,7 +245,7 @@
     let options = Options::default();
     let mut table = table(&[Ends(1), Ends(2)]);
     table.expire(&options, NOON + options.memory);
-    assert!(table.accounts(10, NOON).is_empty());
+    assert!(table.shared_records(10, NOON).is_empty());
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -263,7 +266,7 @@
         let everyone = (0..3).flat_map(|a| (0..3).map(move |b| (a, b)));
         let twice: Vec<_> = everyone.clone().chain(everyone).collect();
         for (from, to) in order.into_iter().chain(twice) {
-            let accounts = hosts[from].accounts(usize::MAX, NOON);
+            let accounts = hosts[from].shared_records(usize::MAX, NOON);
             hosts[to].merge(&options, &accounts, NOON);
         }
         let all: Vec<Event> = seen.concat();
@@ -281,7 +284,7 @@
         let mut hosts = [Table::default(), Table::default()];
         for (n, process) in events.into_iter().enumerate() {
             learn(&mut hosts[n % 2], &[CanaryEnds(process)], NOON);
-            let accounts = hosts[n % 2].accounts(10, NOON);
+            let accounts = hosts[n % 2].shared_records(10, NOON);
             hosts[(n + 1) % 2].merge(&options, &accounts, NOON);
         }
         for host in &hosts {
@@ -295,7 +298,7 @@
 #[test]
 fn accounts_are_small() {
     let ends: Vec<Event> = (0..50).map(Ends).collect();
-    let accounts = table(&ends).accounts(10, NOON);
+    let accounts = table(&ends).shared_records(10, NOON);
     let [account] = accounts.as_slice() else {
         panic!("{accounts:?}");
     };
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -71,7 +71,7 @@
 {
     let mut has_joined = false;
     loop {
-        let latest = host.core.borrow().quarantine.accounts(1, host.now());
+        let latest = host.core.borrow().quarantine.shared_records(1, host.now());
         let period = period(&latest, has_joined);
         tokio::select! {
             () = host.quarantine_changed.notified() => push(&host).await,
@@ -113,7 +113,11 @@
     D: Dialect,
     S: Source,
 {
-    let held = host.core.borrow().quarantine.accounts(MOST, host.now());
+    let held = host
+        .core
+        .borrow()
+        .quarantine
+        .shared_records(MOST, host.now());
     if has_joined && held.is_empty() {
         return true;
     }
@@ -200,7 +204,11 @@
     S: Source,
 {
     let message: wire::Message = frame::decode(body, "host")?;
-    let held = host.core.borrow().quarantine.accounts(MOST, host.now());
+    let held = host
+        .core
+        .borrow()
+        .quarantine
+        .shared_records(MOST, host.now());
     hear(host, "host", &message.accounts);
     let told = match message.accounts.is_empty() {
         true => held,
@@ -243,7 +251,7 @@
         .core
         .borrow()
         .quarantine
-        .accounts(usize::MAX, host.clock.now());
+        .shared_records(usize::MAX, host.clock.now());
     let lines = accounts.iter().map(|account| {
         let left = left(account.state).map(|left| format!(" left_s={}", left.as_secs()));
         format!(
@@ -262,7 +270,7 @@
 pub fn lift<D, S>(host: &Host<D, S>, fingerprint: &str) -> bool {
     let now = host.clock.now();
     let mut core = host.core.borrow_mut();
-    let held = core.quarantine.accounts(usize::MAX, now);
+    let held = core.quarantine.shared_records(usize::MAX, now);
     let mut named = held.iter().map(|account| account.fingerprint);
     let named = named.find(|known| known.to_string() == fingerprint);
     let is_lifted = named.is_some_and(|known| core.quarantine.lift(known, now));
--- a/crates/lentillift-gateway/tests/fatal.rs
+++ b/crates/lentillift-gateway/tests/fatal.rs
@@ -203,7 +203,7 @@
         let path = format!("/all/{FATAL}");
         fleet.ask(0, &path).await;
         let is_known = |host: &Shared| {
-            let accounts = host.core.borrow().quarantine.accounts(1, host.now());
+            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
             let states = accounts.iter().map(|account| account.state);
             { states }.any(|state| matches!(state, State::Quarantined { .. }))
         };
@@ -276,7 +276,7 @@
         assert_eq!(status(&fleet.ask(0, &path).await), 503);
         assert_eq!(status(&operate(address, "DELETE", &held).await), 200);
         let is_clear = |host: &Shared| {
-            let accounts = host.core.borrow().quarantine.accounts(1, host.now());
+            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
             accounts
                 .iter()
                 .all(|account| account.state == State::Cleared)
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -85,13 +85,13 @@
     }
 
     fn exchange(&mut self, host: usize, now: Time) {
-        let accounts = worth_telling(self.hosts[host].accounts(usize::MAX, now));
+        let accounts = worth_telling(self.hosts[host].shared_records(usize::MAX, now));
         if accounts.is_empty() {
             return;
         }
         for other in self.others(host, 1) {
             self.send(host, other, accounts.clone(), now);
-            let answer = worth_telling(self.hosts[other].accounts(usize::MAX, now));
+            let answer = worth_telling(self.hosts[other].shared_records(usize::MAX, now));
             self.send(other, host, answer, now);
         }
     }
@@ -115,7 +115,7 @@
             for host in 0..self.hosts.len() {
                 self.push(host, now);
                 let turn = (now + MS * host as u32).as_millis();
-                let latest = self.hosts[host].accounts(1, now);
+                let latest = self.hosts[host].shared_records(1, now);
                 if turn.is_multiple_of(period(&latest, true).as_millis()) {
                     self.exchange(host, now);
                 }
