--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -247,7 +247,7 @@
     }
 
     /// What is held of one request.
-    pub fn account(&self, fingerprint: Fingerprint, now: Time) -> Option<SharedRecord> {
+    pub fn shared_record(&self, fingerprint: Fingerprint, now: Time) -> Option<SharedRecord> {
         let record = self.records.get(&fingerprint)?;
         Some(record.account(fingerprint, now))
     }
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -326,7 +326,7 @@
     pub fn account(&self) -> Option<SharedRecord> {
         let core = self.host.core.borrow();
         core.quarantine
-            .account(self.message.fingerprint, self.host.now())
+            .shared_record(self.message.fingerprint, self.host.now())
     }
 
     /// Adds what a host brought to what it brought before.
