--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -30,10 +30,10 @@
 use std::time::Duration;
 
 /// Identifies one process of a backend server.
-pub type Process = u64;
+pub type ProcessId = u64;
 
 /// The process of the backend server that `start` tells from those before and after it.
-pub fn process(backend: &str, start: u64) -> Process {
+pub fn process(backend: &str, start: u64) -> ProcessId {
     rendezvous::weight(&start.to_string(), backend)
 }
 
@@ -124,7 +124,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
     /// The process that ended.
-    pub process: Process,
+    pub process: ProcessId,
     /// Whether nothing else was sent for the request at that time, because it was suspect.
     pub canary: bool,
 }
--- a/crates/lentillift-fleet/src/quarantine/account.rs
+++ b/crates/lentillift-fleet/src/quarantine/account.rs
@@ -1,6 +1,6 @@
 //! What hosts tell each other of requests under which servers ended.
 
-use super::Process;
+use super::ProcessId;
 use lentillift_core::fingerprint::Fingerprint;
 use std::time::Duration;
 
@@ -28,9 +28,9 @@
     /// Times that it was cleared; of two accounts the later generation holds.
     pub generation: u32,
     /// Processes that ended under it in this generation; no more than decide.
-    pub ends: Vec<Process>,
+    pub ends: Vec<ProcessId>,
     /// Those that ended under a canary; no more than decide.
-    pub canary_ends: Vec<Process>,
+    pub canary_ends: Vec<ProcessId>,
     /// Time since something last changed where it comes from.
     pub age: Duration,
     /// What follows.
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -8,7 +8,7 @@
 use super::End;
 use super::FOREVER;
 use super::Options;
-use super::Process;
+use super::ProcessId;
 use super::SharedRecord;
 use super::State;
 use super::Verdict;
@@ -36,10 +36,10 @@
     generation: u32,
     /// Processes that ended under it in this generation.
     // INVARIANT: All differ.
-    ends: Vec<Process>,
+    ends: Vec<ProcessId>,
     /// Those under canaries.
     // INVARIANT: All differ.
-    canary_ends: Vec<Process>,
+    canary_ends: Vec<ProcessId>,
     /// When something last changed.
     latest: Time,
     stage: Stage,
@@ -231,7 +231,7 @@
 }
 
 /// Adds processes that are not among `known`, up to `most`; says whether there were any.
-fn add(known: &mut Vec<Process>, processes: &[Process], most: usize) -> bool {
+fn add(known: &mut Vec<ProcessId>, processes: &[ProcessId], most: usize) -> bool {
     let before = known.len();
     for process in processes {
         if known.len() < most && !known.contains(process) {
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -5,7 +5,7 @@
 use lentillift_fleet::quarantine::Admission;
 use lentillift_fleet::quarantine::End;
 use lentillift_fleet::quarantine::Options;
-use lentillift_fleet::quarantine::Process;
+use lentillift_fleet::quarantine::ProcessId;
 use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::State;
 use lentillift_fleet::quarantine::Table;
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy)]
 enum Event {
     /// A server ended under an ordinary send.
-    Ends(Process),
+    Ends(ProcessId),
     /// A server ended under a canary.
-    CanaryEnds(Process),
+    CanaryEnds(ProcessId),
     Answered,
 }
 
