--- a/crates/lentillift-entry/src/core/doubt.rs
+++ b/crates/lentillift-entry/src/core/doubt.rs
@@ -69,7 +69,7 @@
         if !self.policy.quarantine.on || query.ran() {
             return;
         }
-        let process = quarantine::process(&flight.backend, id);
+        let process = quarantine::process_id(&flight.backend, id);
         let end = End { process, canary };
         self.quarantine
             .ended(&Options::default(), query.fingerprint, end, now);
--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -33,7 +33,7 @@
 pub type ProcessId = u64;
 
 /// The process of the backend server that `start` tells from those before and after it.
-pub fn process(backend: &str, start: u64) -> ProcessId {
+pub fn process_id(backend: &str, start: u64) -> ProcessId {
     rendezvous::weight(&start.to_string(), backend)
 }
 
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -399,7 +399,7 @@
     ) {
         if let Some(known) = self.remembers(fingerprint) {
             let Entry { id, born, .. } = &server.entry;
-            let process = quarantine::process(id, *born);
+            let process = quarantine::process_id(id, *born);
             let end = End { process, canary };
             let options = &self.options.quarantine;
             self.quarantine.ended(options, known, end, now);
