--- a/crates/lentillift-fleet/src/boot.rs
+++ b/crates/lentillift-fleet/src/boot.rs
@@ -6,7 +6,7 @@
 use crate::life::Any;
 use crate::member::Member;
 use crate::packet::Body;
-use crate::packet::News;
+use crate::packet::Update;
 use crate::probe::Action;
 use crate::probe::Around;
 use crate::read::Role;
@@ -135,7 +135,7 @@
                 self.picture.touch_hosts();
                 let hosts = self.table.len();
                 let incarnation = worse.incarnation;
-                self.queue.push(News::Member(worse), hosts);
+                self.queue.push(Update::Member(worse), hosts);
                 let detail = match health {
                     Health::Alive => "answers",
                     Health::Suspect => "does not answer, suspected",
--- a/crates/lentillift-fleet/src/core.rs
+++ b/crates/lentillift-fleet/src/core.rs
@@ -13,8 +13,8 @@
 use crate::member::Table;
 use crate::packet::Body;
 use crate::packet::Digest;
-use crate::packet::News;
 use crate::packet::Packet;
+use crate::packet::Update;
 use crate::picture::Picture;
 use crate::probe;
 use crate::probe::Prober;
@@ -249,8 +249,8 @@
         }
         for news in news {
             match news {
-                News::Member(member) => effects.extend(self.learn(now, &member)),
-                News::Value(key, mark) => self.want(&key, mark, &from.host),
+                Update::Member(member) => effects.extend(self.learn(now, &member)),
+                Update::Value(key, mark) => self.want(&key, mark, &from.host),
             }
         }
         effects.extend(self.answer(now, &from, body));
@@ -337,7 +337,7 @@
         // What a starting process is told is news to nobody else.
         if self.own.stage != Stage::Starting || news.stage == Stage::Starting {
             let hosts = self.table.len();
-            self.queue.push(News::Member(news.clone()), hosts);
+            self.queue.push(Update::Member(news.clone()), hosts);
         }
         let mut effects = Vec::new();
         let mut same = false;
@@ -363,7 +363,7 @@
             self.own = life.member().clone();
             self.picture.touch_hosts();
             self.queue
-                .push(News::Member(self.own.clone()), self.table.len());
+                .push(Update::Member(self.own.clone()), self.table.len());
         }
     }
 
--- a/crates/lentillift-fleet/src/exchange.rs
+++ b/crates/lentillift-fleet/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::core::Effect;
 use crate::core::Fleet;
 use crate::core::note;
-use crate::packet::News;
+use crate::packet::Update;
 use crate::read::Index;
 use crate::sync;
 use crate::value::Key;
@@ -139,7 +139,7 @@
         match offered {
             Ok(Offer::Taken(mark)) => {
                 let hosts = self.table.len();
-                self.queue.push(News::Value(key.clone(), mark), hosts);
+                self.queue.push(Update::Value(key.clone(), mark), hosts);
                 self.picture.touch_values();
                 if let Some(roster) = &self.store.values().roster
                     && &**key == "hosts"
--- a/crates/lentillift-fleet/src/gossip.rs
+++ b/crates/lentillift-fleet/src/gossip.rs
@@ -6,7 +6,7 @@
 
 use crate::member::Member;
 use crate::packet::NEWS_BYTES;
-use crate::packet::News;
+use crate::packet::Update;
 use crate::value::Key;
 use lentillift_core::id;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
 
 #[derive(Debug)]
 struct Item {
-    news: News,
+    news: Update,
     /// Times it is still to be sent.
     left: u32,
     /// Whether it has not been sent yet.
@@ -41,10 +41,10 @@
 
 impl Queue {
     /// Adds news, to be sent to so many others that all of `hosts` hear of it.
-    pub fn push(&mut self, news: News, hosts: usize) {
+    pub fn push(&mut self, news: Update, hosts: usize) {
         let subject = match &news {
-            News::Member(member) => Subject::Host(member.host.clone()),
-            News::Value(key, _) => Subject::Key(key.clone()),
+            Update::Member(member) => Subject::Host(member.host.clone()),
+            Update::Value(key, _) => Subject::Key(key.clone()),
         };
         let doublings = usize::BITS - hosts.leading_zeros();
         let item = Item {
@@ -61,15 +61,15 @@
     }
 
     /// Takes news for one datagram that also tells its receiver what is held against it.
-    pub fn take_with(&mut self, against: Option<Member>) -> Vec<News> {
-        let against = against.map(News::Member);
-        let mut news = self.take(against.as_ref().map_or(0, News::bytes));
+    pub fn take_with(&mut self, against: Option<Member>) -> Vec<Update> {
+        let against = against.map(Update::Member);
+        let mut news = self.take(against.as_ref().map_or(0, Update::bytes));
         news.extend(against);
         news
     }
 
     /// Takes news for one datagram beside `used` bytes, what was sent least often first.
-    pub fn take(&mut self, used: usize) -> Vec<News> {
+    pub fn take(&mut self, used: usize) -> Vec<Update> {
         let mut order: Vec<&mut Item> = self.items.values_mut().collect();
         order.sort_by_key(|item| std::cmp::Reverse((item.new, item.left)));
         let mut room = NEWS_BYTES.saturating_sub(used);
--- a/crates/lentillift-fleet/src/packet.rs
+++ b/crates/lentillift-fleet/src/packet.rs
@@ -26,7 +26,7 @@
 
 /// A change worth passing on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// An account of a host.
     Member(Member),
     /// The sender holds a value with this mark.
@@ -36,7 +36,7 @@
 /// Bytes that anything in the news takes at most beside its strings.
 const FIXED_BYTES: usize = 64;
 
-impl News {
+impl Update {
     /// Bytes on the wire, at most.
     pub fn bytes(&self) -> usize {
         match self {
@@ -78,5 +78,5 @@
     /// What it is for.
     pub body: Body,
     /// News; together no larger than [`NEWS_BYTES`].
-    pub news: Vec<News>,
+    pub news: Vec<Update>,
 }
--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -15,8 +15,8 @@
 use crate::member::Table;
 use crate::packet::Body;
 use crate::packet::Digest;
-use crate::packet::News;
 use crate::packet::Packet;
+use crate::packet::Update;
 use crate::probe;
 use crate::probe::Answer;
 use crate::probe::Around;
@@ -166,7 +166,7 @@
         };
         self.own = life.member().clone();
         self.life = Some(life);
-        let news = News::Member(self.own.clone());
+        let news = Update::Member(self.own.clone());
         self.queue.push(news, self.table.len());
         self.push()
     }
@@ -236,7 +236,7 @@
                     return Vec::new();
                 };
                 let hosts = self.table.len();
-                self.queue.push(News::Member(news.clone()), hosts);
+                self.queue.push(Update::Member(news.clone()), hosts);
                 vec![Effect::Changed(news)]
             }
         }
@@ -256,7 +256,7 @@
         let unknown = self.table.get(&from.host).is_none();
         let mut effects = self.learn(now, &from);
         for news in news {
-            if let News::Member(member) = news {
+            if let Update::Member(member) = news {
                 effects.extend(self.learn(now, &member));
             }
         }
@@ -313,7 +313,7 @@
         let joining = now < self.started + JOINING;
         if !joining || news.is_over() {
             let hosts = self.table.len();
-            self.queue.push(News::Member(news.clone()), hosts);
+            self.queue.push(Update::Member(news.clone()), hosts);
         }
         vec![Effect::Changed(news.clone())]
     }
@@ -324,7 +324,7 @@
         };
         if life.refute(news) {
             self.own = life.member().clone();
-            let news = News::Member(self.own.clone());
+            let news = Update::Member(self.own.clone());
             self.queue.push(news, self.table.len());
         }
     }
@@ -335,7 +335,7 @@
         self.carry(body, news)
     }
 
-    fn carry(&self, body: Body, news: Vec<News>) -> Packet {
+    fn carry(&self, body: Body, news: Vec<Update>) -> Packet {
         Packet {
             from: self.own.clone(),
             digest: Digest {
--- a/crates/lentillift-fleet/src/swim/account.rs
+++ b/crates/lentillift-fleet/src/swim/account.rs
@@ -6,7 +6,7 @@
 use crate::member::Member;
 use crate::packet::Body;
 use crate::packet::NEWS_BYTES;
-use crate::packet::News;
+use crate::packet::Update;
 use lentillift_core::time::Time;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
         let mut batches = vec![Vec::new()];
         let mut room = NEWS_BYTES;
         for member in known {
-            let news = News::Member(member.clone());
+            let news = Update::Member(member.clone());
             let bytes = news.bytes();
             if bytes > room {
                 batches.push(Vec::new());
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -155,16 +155,16 @@
     }
 }
 
-impl From<packet::News> for News {
-    fn from(news: packet::News) -> Self {
+impl From<packet::Update> for News {
+    fn from(news: packet::Update) -> Self {
         match news {
-            packet::News::Member(member) => Self::Member(member.into()),
-            packet::News::Value(key, mark) => Self::Value(key.to_string(), mark.into()),
+            packet::Update::Member(member) => Self::Member(member.into()),
+            packet::Update::Value(key, mark) => Self::Value(key.to_string(), mark.into()),
         }
     }
 }
 
-impl TryFrom<News> for packet::News {
+impl TryFrom<News> for packet::Update {
     type Error = String;
 
     fn try_from(news: News) -> Result<Self, Self::Error> {
@@ -223,7 +223,7 @@
     type Error = String;
 
     fn try_from(packet: Packet) -> Result<Self, Self::Error> {
-        let news = packet.news.into_iter().map(packet::News::try_from);
+        let news = packet.news.into_iter().map(packet::Update::try_from);
         Ok(Self {
             from: packet.from.try_into()?,
             digest: packet::Digest {
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -5,8 +5,8 @@
 use lentillift_fleet::packet::Body;
 use lentillift_fleet::packet::Digest;
 use lentillift_fleet::packet::NEWS_BYTES;
-use lentillift_fleet::packet::News;
 use lentillift_fleet::packet::Packet;
+use lentillift_fleet::packet::Update;
 use lentillift_fleet::view::Health;
 use lentillift_fleet::view::Stage;
 use lentillift_node::datagram;
@@ -106,7 +106,7 @@
     let mut news = Vec::new();
     let mut room = NEWS_BYTES;
     for number in 0.. {
-        let one = News::Member(member(format!("{number}")));
+        let one = Update::Member(member(format!("{number}")));
         let Some(left) = room.checked_sub(one.bytes()) else {
             break;
         };
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -4,8 +4,8 @@
 use lentillift_fleet::member::Member;
 use lentillift_fleet::packet::Body;
 use lentillift_fleet::packet::Digest;
-use lentillift_fleet::packet::News;
 use lentillift_fleet::packet::Packet;
+use lentillift_fleet::packet::Update;
 use lentillift_fleet::sync;
 use lentillift_fleet::value::Mark;
 use lentillift_fleet::view::Health;
@@ -52,10 +52,10 @@
     any::<(u64, u64)>().prop_map(|(revision, sum)| Mark { revision, sum })
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn news() -> impl Strategy<Value = Update> {
     prop_oneof![
-        member().prop_map(News::Member),
-        ("[a-z/]{1,30}", mark()).prop_map(|(key, mark)| News::Value(key.into(), mark)),
+        member().prop_map(Update::Member),
+        ("[a-z/]{1,30}", mark()).prop_map(|(key, mark)| Update::Value(key.into(), mark)),
     ]
 }
 
