--- a/crates/lentillift-fleet/src/gossip.rs
+++ b/crates/lentillift-fleet/src/gossip.rs
@@ -5,7 +5,7 @@
 //! spread but never sends more per second.
 
 use crate::member::Member;
-use crate::packet::NEWS_BYTES;
+use crate::packet::UPDATES_BYTES;
 use crate::packet::Update;
 use crate::value::Key;
 use lentillift_core::id;
@@ -72,7 +72,7 @@
     pub fn take(&mut self, used: usize) -> Vec<Update> {
         let mut order: Vec<&mut Item> = self.items.values_mut().collect();
         order.sort_by_key(|item| std::cmp::Reverse((item.new, item.left)));
-        let mut room = NEWS_BYTES.saturating_sub(used);
+        let mut room = UPDATES_BYTES.saturating_sub(used);
         let mut taken = Vec::new();
         for item in order {
             let bytes = item.news.bytes();
--- a/crates/lentillift-fleet/src/packet.rs
+++ b/crates/lentillift-fleet/src/packet.rs
@@ -13,7 +13,7 @@
 ///
 /// With the head it stays under 1,200 bytes, which no network on the way has to split. A datagram
 /// that is split is lost with any of its parts.
-pub const NEWS_BYTES: usize = 900;
+pub const UPDATES_BYTES: usize = 900;
 
 /// Summary of what a process holds; processes that hold the same have equal ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/lentillift-fleet/src/swim/account.rs
+++ b/crates/lentillift-fleet/src/swim/account.rs
@@ -5,7 +5,7 @@
 use crate::drift;
 use crate::member::Member;
 use crate::packet::Body;
-use crate::packet::NEWS_BYTES;
+use crate::packet::UPDATES_BYTES;
 use crate::packet::Update;
 use lentillift_core::time::Time;
 use rand::Rng;
@@ -56,13 +56,13 @@
         // Those that are over too: whoever missed an end would wait for that host for good.
         let known = known.filter(|m| m.version > 0);
         let mut batches = vec![Vec::new()];
-        let mut room = NEWS_BYTES;
+        let mut room = UPDATES_BYTES;
         for member in known {
             let news = Update::Member(member.clone());
             let bytes = news.bytes();
             if bytes > room {
                 batches.push(Vec::new());
-                room = NEWS_BYTES;
+                room = UPDATES_BYTES;
             }
             room = room.saturating_sub(bytes);
             if let Some(batch) = batches.last_mut() {
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -4,8 +4,8 @@
 use lentillift_fleet::member::Member;
 use lentillift_fleet::packet::Body;
 use lentillift_fleet::packet::Digest;
-use lentillift_fleet::packet::NEWS_BYTES;
 use lentillift_fleet::packet::Packet;
+use lentillift_fleet::packet::UPDATES_BYTES;
 use lentillift_fleet::packet::Update;
 use lentillift_fleet::view::Health;
 use lentillift_fleet::view::Stage;
@@ -104,7 +104,7 @@
         health: Health::Alive,
     };
     let mut news = Vec::new();
-    let mut room = NEWS_BYTES;
+    let mut room = UPDATES_BYTES;
     for number in 0.. {
         let one = Update::Member(member(format!("{number}")));
         let Some(left) = room.checked_sub(one.bytes()) else {
