--- a/crates/lentillift-fleet/src/core.rs
+++ b/crates/lentillift-fleet/src/core.rs
@@ -241,7 +241,7 @@
             from,
             digest,
             body,
-            news,
+            updates: news,
         } = packet;
         let mut effects = self.learn(now, &from);
         if from.host == self.own.host {
@@ -314,7 +314,7 @@
                 members: self.member_digest(),
             },
             body,
-            news,
+            updates: news,
         }
     }
 
--- a/crates/lentillift-fleet/src/packet.rs
+++ b/crates/lentillift-fleet/src/packet.rs
@@ -78,5 +78,5 @@
     /// What it is for.
     pub body: Body,
     /// News; together no larger than [`NEWS_BYTES`].
-    pub news: Vec<Update>,
+    pub updates: Vec<Update>,
 }
--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -247,7 +247,7 @@
         let Packet {
             from,
             body,
-            news,
+            updates: news,
             digest,
         } = packet;
         if from.host == self.own.host {
@@ -343,7 +343,7 @@
                 members: self.digest(),
             },
             body,
-            news,
+            updates: news,
         }
     }
 }
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -315,7 +315,7 @@
             members: 0,
         },
         body: Body::Push,
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     to.swim.borrow_mut().packet(to.now(), packet);
     to.count_hosts();
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -214,7 +214,7 @@
             values: packet.digest.values,
             members: packet.digest.members,
             body: packet.body.into(),
-            news: packet.news.into_iter().map(News::from).collect(),
+            news: packet.updates.into_iter().map(News::from).collect(),
         }
     }
 }
@@ -231,7 +231,7 @@
                 members: packet.members,
             },
             body: packet.body.into(),
-            news: news.collect::<Result<_, _>>()?,
+            updates: news.collect::<Result<_, _>>()?,
         })
     }
 }
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -120,7 +120,7 @@
             members: 2,
         },
         body: Body::Ping(1),
-        news,
+        updates: news,
     };
     let bytes = datagram::encode(packet.clone()).expect("a datagram");
     assert_eq!(datagram::decode(&bytes), Ok(packet));
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -85,7 +85,7 @@
             from,
             digest,
             body,
-            news,
+            updates: news,
         })
 }
 
