--- a/crates/lentillift-fleet/src/core.rs
+++ b/crates/lentillift-fleet/src/core.rs
@@ -24,7 +24,7 @@
 use crate::sync;
 use crate::sync::Fetch;
 use crate::value::Key;
-use crate::value::Mark;
+use crate::value::Stamp;
 use crate::value::Store;
 use crate::view::Stage;
 use crate::view::View;
@@ -127,7 +127,7 @@
     /// When it was last looked for hosts that may be forgotten.
     pub(crate) swept: Time,
     /// Values that a peer holds for valid and this process does not.
-    pub(crate) refused: BTreeMap<Key, Mark>,
+    pub(crate) refused: BTreeMap<Key, Stamp>,
     value_drift: Drift,
     member_drift: Drift,
     /// When a peer last answered.
--- a/crates/lentillift-fleet/src/exchange.rs
+++ b/crates/lentillift-fleet/src/exchange.rs
@@ -7,8 +7,8 @@
 use crate::read::Index;
 use crate::sync;
 use crate::value::Key;
-use crate::value::Mark;
 use crate::value::Offer;
+use crate::value::Stamp;
 use lentillift_core::error::Result;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(crate) fn want(&mut self, key: &Key, mark: Mark, holder: &id::Host) {
+    pub(crate) fn want(&mut self, key: &Key, mark: Stamp, holder: &id::Host) {
         let refused = self.refused.get(key) == Some(&mark);
         if mark > self.store.mark(key) && !refused && crate::value::is_known(key) {
             self.fetch.want(key, mark, holder);
--- a/crates/lentillift-fleet/src/packet.rs
+++ b/crates/lentillift-fleet/src/packet.rs
@@ -2,7 +2,7 @@
 
 use crate::member::Member;
 use crate::value::Key;
-use crate::value::Mark;
+use crate::value::Stamp;
 use lentillift_core::id;
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     /// An account of a host.
     Member(Member),
     /// The sender holds a value with this mark.
-    Value(Key, Mark),
+    Value(Key, Stamp),
 }
 
 /// Bytes that anything in the news takes at most beside its strings.
--- a/crates/lentillift-fleet/src/sync.rs
+++ b/crates/lentillift-fleet/src/sync.rs
@@ -8,7 +8,7 @@
 use crate::member::Member;
 use crate::value::Key;
 use crate::value::LIMIT;
-use crate::value::Mark;
+use crate::value::Stamp;
 use crate::value::Store;
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -39,14 +39,14 @@
         /// The hosts, the sender included.
         members: Vec<Member>,
         /// The keys of the values in force, with their marks.
-        marks: Vec<(Key, Mark)>,
+        marks: Vec<(Key, Stamp)>,
     },
     /// The receiver should send a chunk of a value.
     Pull {
         /// The key.
         key: Key,
         /// The mark of the value that is wanted.
-        mark: Mark,
+        mark: Stamp,
         /// Where the chunk starts.
         offset: u32,
     },
@@ -55,7 +55,7 @@
         /// The key.
         key: Key,
         /// The mark of the value.
-        mark: Mark,
+        mark: Stamp,
         /// The configuration service's version number of it.
         version: u64,
         /// Where the chunk starts.
@@ -73,7 +73,7 @@
 /// A value that is wanted.
 #[derive(Debug)]
 struct Want {
-    mark: Mark,
+    mark: Stamp,
     /// Peers that said they hold it; the last one is asked.
     holders: Vec<id::Host>,
     body: Vec<u8>,
@@ -87,7 +87,7 @@
     /// Its key.
     pub key: Key,
     /// The mark its sender gave it.
-    pub mark: Mark,
+    pub mark: Stamp,
     /// The configuration service's version number of it.
     pub version: u64,
     /// The value.
@@ -107,7 +107,7 @@
     }
 
     /// Notes that `holder` holds a value that is higher than the one in force here.
-    pub fn want(&mut self, key: &Key, mark: Mark, holder: &id::Host) {
+    pub fn want(&mut self, key: &Key, mark: Stamp, holder: &id::Host) {
         let want = self.wants.entry(key.clone()).or_insert_with(|| Want {
             mark,
             holders: Vec::new(),
@@ -129,7 +129,7 @@
     }
 
     /// Drops what is no longer wanted because it, or a higher one, is in force.
-    pub fn settle(&mut self, key: &str, mark: Mark) {
+    pub fn settle(&mut self, key: &str, mark: Stamp) {
         if self.wants.get(key).is_some_and(|want| want.mark <= mark) {
             self.wants.remove(key);
         }
@@ -220,7 +220,7 @@
 /// The chunk of the value in force that a peer asked for.
 ///
 /// A value that replaced the one asked for is sent from its start.
-pub fn serve(store: &Store, key: &Key, mark: Mark, offset: u32) -> Option<Message> {
+pub fn serve(store: &Store, key: &Key, mark: Stamp, offset: u32) -> Option<Message> {
     let value = store.get(key)?;
     if value.mark < mark {
         return None;
--- a/crates/lentillift-fleet/src/value.rs
+++ b/crates/lentillift-fleet/src/value.rs
@@ -31,7 +31,7 @@
 
 /// Which of two values of one key is in force: the one with the higher mark.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Mark {
+pub struct Stamp {
     /// The value's revision.
     pub revision: id::Revision,
     /// Hash of the value.
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 pub struct Value {
     /// Its mark.
-    pub mark: Mark,
+    pub mark: Stamp,
     /// The configuration service's version number of the key when it was read there.
     pub version: u64,
     /// The value as it was published.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
     /// It is in force now.
-    Taken(Mark),
+    Taken(Stamp),
     /// It is in force already, or a higher one is.
     Old,
 }
@@ -96,12 +96,13 @@
     }
 
     /// The mark of the value in force under `key`; the lowest if there is none.
-    pub fn mark(&self, key: &str) -> Mark {
-        self.get(key).map_or_else(Mark::default, |value| value.mark)
+    pub fn mark(&self, key: &str) -> Stamp {
+        self.get(key)
+            .map_or_else(Stamp::default, |value| value.mark)
     }
 
     /// All keys with their marks.
-    pub fn marks(&self) -> impl Iterator<Item = (&Key, Mark)> {
+    pub fn marks(&self) -> impl Iterator<Item = (&Key, Stamp)> {
         self.held.iter().map(|(key, value)| (key, value.mark))
     }
 
@@ -123,7 +124,7 @@
     pub fn offer(&mut self, key: &str, version: u64, body: &[u8]) -> Result<Offer> {
         let (revision, checked) = check(key, body)?;
         let sum = XxHash64::oneshot(0, body);
-        let mark = Mark { revision, sum };
+        let mark = Stamp { revision, sum };
         if mark == self.mark(key)
             && let Some(held) = self.held.get_mut(key)
         {
@@ -152,7 +153,7 @@
     }
 }
 
-fn hash(key: &str, mark: Mark) -> u64 {
+fn hash(key: &str, mark: Stamp) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
     (key, mark).hash(&mut hasher);
     hasher.finish()
--- a/crates/lentillift-fleet/tests/sync.rs
+++ b/crates/lentillift-fleet/tests/sync.rs
@@ -8,7 +8,7 @@
 use lentillift_fleet::sync::Letter;
 use lentillift_fleet::sync::Message;
 use lentillift_fleet::value::Key;
-use lentillift_fleet::value::Mark;
+use lentillift_fleet::value::Stamp;
 use lentillift_fleet::value::Store;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 /// A store that holds a value of `bytes` bytes, with its mark.
-fn store(revision: u64, bytes: usize) -> (Store, Mark) {
+fn store(revision: u64, bytes: usize) -> (Store, Stamp) {
     let mut store = Store::default();
     let mut body = format!(r#"{{"revision": {revision}, "servers": {{}}, "maps": []}}"#);
     body.push_str(&" ".repeat(bytes - body.len()));
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -137,8 +137,8 @@
     }
 }
 
-impl From<value::Mark> for Mark {
-    fn from(mark: value::Mark) -> Self {
+impl From<value::Stamp> for Mark {
+    fn from(mark: value::Stamp) -> Self {
         Self {
             revision: mark.revision,
             sum: mark.sum,
@@ -146,7 +146,7 @@
     }
 }
 
-impl From<Mark> for value::Mark {
+impl From<Mark> for value::Stamp {
     fn from(mark: Mark) -> Self {
         Self {
             revision: mark.revision,
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -7,7 +7,7 @@
 use lentillift_fleet::packet::Packet;
 use lentillift_fleet::packet::Update;
 use lentillift_fleet::sync;
-use lentillift_fleet::value::Mark;
+use lentillift_fleet::value::Stamp;
 use lentillift_fleet::view::Health;
 use lentillift_fleet::view::Stage;
 use lentillift_node::datagram;
@@ -48,8 +48,8 @@
         )
 }
 
-fn mark() -> impl Strategy<Value = Mark> {
-    any::<(u64, u64)>().prop_map(|(revision, sum)| Mark { revision, sum })
+fn mark() -> impl Strategy<Value = Stamp> {
+    any::<(u64, u64)>().prop_map(|(revision, sum)| Stamp { revision, sum })
 }
 
 fn news() -> impl Strategy<Value = Update> {
