--- a/crates/lentillift-fleet/src/exchange.rs
+++ b/crates/lentillift-fleet/src/exchange.rs
@@ -26,7 +26,10 @@
     ) -> Vec<Effect> {
         match message {
             sync::Message::Ask => vec![Effect::Message(from.clone(), self.tell())],
-            sync::Message::Told { members, marks } => {
+            sync::Message::Told {
+                members,
+                stamps: marks,
+            } => {
                 let mut effects = Vec::new();
                 for member in &members {
                     effects.extend(self.learn(now, member));
@@ -38,7 +41,11 @@
                 effects.extend(self.pull(now));
                 effects
             }
-            sync::Message::Pull { key, mark, offset } => {
+            sync::Message::Pull {
+                key,
+                stamp: mark,
+                offset,
+            } => {
                 let chunk = sync::serve(&self.store, &key, mark, offset);
                 let chunk = chunk.map(|chunk| Effect::Message(from.clone(), chunk));
                 chunk.into_iter().collect()
@@ -59,7 +66,7 @@
         let marks = self.store.marks();
         sync::Message::Told {
             members: known.chain([&self.own]).cloned().collect(),
-            marks: marks.map(|(key, mark)| (key.clone(), mark)).collect(),
+            stamps: marks.map(|(key, mark)| (key.clone(), mark)).collect(),
         }
     }
 
--- a/crates/lentillift-fleet/src/sync.rs
+++ b/crates/lentillift-fleet/src/sync.rs
@@ -39,14 +39,14 @@
         /// The hosts, the sender included.
         members: Vec<Member>,
         /// The keys of the values in force, with their marks.
-        marks: Vec<(Key, Stamp)>,
+        stamps: Vec<(Key, Stamp)>,
     },
     /// The receiver should send a chunk of a value.
     Pull {
         /// The key.
         key: Key,
         /// The mark of the value that is wanted.
-        mark: Stamp,
+        stamp: Stamp,
         /// Where the chunk starts.
         offset: u32,
     },
@@ -55,7 +55,7 @@
         /// The key.
         key: Key,
         /// The mark of the value.
-        mark: Stamp,
+        stamp: Stamp,
         /// The configuration service's version number of it.
         version: u64,
         /// Where the chunk starts.
@@ -165,7 +165,7 @@
     ) -> (Option<Arrival>, Option<Letter>) {
         let Message::Chunk {
             key,
-            mark,
+            stamp: mark,
             version,
             offset,
             total,
@@ -211,7 +211,7 @@
     let holder = want.holders.last()?.clone();
     let message = Message::Pull {
         key: key.clone(),
-        mark: want.mark,
+        stamp: want.mark,
         offset: want.body.len() as u32,
     };
     Some((holder, message))
@@ -229,7 +229,7 @@
     let rest = value.body.get(offset as usize..)?;
     Some(Message::Chunk {
         key: key.clone(),
-        mark: value.mark,
+        stamp: value.mark,
         version: value.version,
         offset,
         total: value.body.len() as u32,
--- a/crates/lentillift-fleet/tests/sync.rs
+++ b/crates/lentillift-fleet/tests/sync.rs
@@ -34,7 +34,12 @@
 
 /// Answers what `letter` asks for out of `store`.
 fn serve(store: &Store, letter: &Letter) -> Message {
-    let Message::Pull { key, mark, offset } = &letter.1 else {
+    let Message::Pull {
+        key,
+        stamp: mark,
+        offset,
+    } = &letter.1
+    else {
         panic!("found {letter:?}");
     };
     match sync::serve(store, key, *mark, *offset) {
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -240,7 +240,10 @@
     fn from(message: sync::Message) -> Self {
         match message {
             sync::Message::Ask => Self::Ask,
-            sync::Message::Told { members, marks } => {
+            sync::Message::Told {
+                members,
+                stamps: marks,
+            } => {
                 let marks = marks.into_iter();
                 let marks = marks.map(|(key, mark)| (key.to_string(), mark.into()));
                 Self::Told(
@@ -248,12 +251,14 @@
                     marks.collect(),
                 )
             }
-            sync::Message::Pull { key, mark, offset } => {
-                Self::Pull(key.to_string(), mark.into(), offset)
-            }
+            sync::Message::Pull {
+                key,
+                stamp: mark,
+                offset,
+            } => Self::Pull(key.to_string(), mark.into(), offset),
             sync::Message::Chunk {
                 key,
-                mark,
+                stamp: mark,
                 version,
                 offset,
                 total,
@@ -281,17 +286,17 @@
                 let marks = marks.into_iter();
                 Self::Told {
                     members: members.collect::<Result<_, _>>()?,
-                    marks: marks.map(|(key, mark)| (key.into(), mark.into())).collect(),
+                    stamps: marks.map(|(key, mark)| (key.into(), mark.into())).collect(),
                 }
             }
             Sync::Pull(key, mark, offset) => Self::Pull {
                 key: key.into(),
-                mark: mark.into(),
+                stamp: mark.into(),
                 offset,
             },
             Sync::Chunk(chunk) => Self::Chunk {
                 key: chunk.key.into(),
-                mark: chunk.mark.into(),
+                stamp: chunk.mark.into(),
                 version: chunk.version,
                 offset: chunk.offset,
                 total: chunk.total,
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -96,11 +96,15 @@
         Just(sync::Message::Ask),
         (members, marks).prop_map(|(members, marks)| sync::Message::Told {
             members,
-            marks: marks.into_iter().map(|(k, m)| (k.into(), m)).collect(),
+            stamps: marks.into_iter().map(|(k, m)| (k.into(), m)).collect(),
         }),
         ("[a-z/]{1,30}", mark(), any::<u32>()).prop_map(|(key, mark, offset)| {
             let key = key.into();
-            sync::Message::Pull { key, mark, offset }
+            sync::Message::Pull {
+                key,
+                stamp: mark,
+                offset,
+            }
         }),
         (
             "[a-z/]{1,30}",
@@ -111,7 +115,7 @@
             .prop_map(|(key, mark, (version, offset, total), bytes)| {
                 sync::Message::Chunk {
                     key: key.into(),
-                    mark,
+                    stamp: mark,
                     version,
                     offset,
                     total,
