--- a/crates/lentillift-fleet/src/tenure.rs
+++ b/crates/lentillift-fleet/src/tenure.rs
@@ -130,7 +130,7 @@
 
 /// All backend servers that this process guards, claims or holds.
 #[derive(Debug)]
-pub struct Tenure {
+pub struct LeaseManager {
     host: id::Host,
     incarnation: id::Incarnation,
     options: Options,
@@ -143,7 +143,7 @@
     next_retry: Time,
     leaving: bool,
 }
-impl Tenure {
+impl LeaseManager {
     /// Starts at `now` without a view.
     pub fn new(now: Time, host: id::Host, incarnation: id::Incarnation, options: Options) -> Self {
         let term = options.lease.term;
--- a/crates/lentillift-fleet/src/tenure/claim.rs
+++ b/crates/lentillift-fleet/src/tenure/claim.rs
@@ -1,7 +1,7 @@
 //! The side of a process that claims backend servers, renews what it holds and gives up the rest.
 
 use super::Effect;
-use super::Tenure;
+use super::LeaseManager;
 use super::stage::Place;
 use super::stage::Stage;
 use crate::grant::Attempt;
@@ -12,7 +12,7 @@
 use lentillift_core::time::Time;
 use std::collections::BTreeMap;
 
-impl Tenure {
+impl LeaseManager {
     /// Forgets earlier guardians that can no longer grant.
     pub(super) fn settle(&mut self, now: Time, name: &id::Backend) {
         let settle = self.options.lease.settle;
--- a/crates/lentillift-fleet/src/tenure/guard.rs
+++ b/crates/lentillift-fleet/src/tenure/guard.rs
@@ -1,7 +1,7 @@
 //! The side of a guardian: grants to one holder at a time.
 
 use super::Effect;
-use super::Tenure;
+use super::LeaseManager;
 use crate::grant::Attempt;
 use crate::grant::Claim;
 use crate::grant::Holder;
@@ -9,7 +9,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 
-impl Tenure {
+impl LeaseManager {
     /// Decides on claims as a guardian.
     pub fn claimed(
         &mut self,
--- a/crates/lentillift-fleet/src/tenure/handover.rs
+++ b/crates/lentillift-fleet/src/tenure/handover.rs
@@ -1,7 +1,7 @@
 //! Handing a backend server over to a better holder, with what is known of it.
 
 use super::Effect;
-use super::Tenure;
+use super::LeaseManager;
 use super::Transfer;
 use super::stage::Stage;
 use crate::grant::Holder;
@@ -9,7 +9,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 
-impl Tenure {
+impl LeaseManager {
     /// Hands over to a guardian that should rather hold a backend server and asks for it.
     pub(super) fn asked(&mut self, now: Time, name: &id::Backend, by: &id::Host) -> Vec<Effect> {
         let holding = self.places.get(name);
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -4,8 +4,8 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::guardian;
 use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseManager;
 use lentillift_fleet::tenure::Options;
-use lentillift_fleet::tenure::Tenure;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_settings::placement::Placement;
@@ -107,7 +107,7 @@
     };
     let view = Arc::new(View::new(values, alive));
     let guardians = view.backends[&backend].guardians.clone();
-    let mut new = Tenure::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
+    let mut new = LeaseManager::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
     new.set_view(Time::ZERO, view);
     let named = new.hold(Time::ZERO, &backend);
     assert_eq!(named, Hold::No(Some(guardians[1].clone())));
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -14,7 +14,7 @@
 use lentillift_core::time::Clock;
 use lentillift_core::time::Time;
 use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Tenure;
+use lentillift_fleet::tenure::LeaseManager;
 use lentillift_fleet::view::View;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
@@ -77,7 +77,7 @@
 pub struct Task {
     pub(crate) me: Peer,
     pub(crate) owner: Owner,
-    pub(crate) tenure: Tenure,
+    pub(crate) tenure: LeaseManager,
     /// Who waits until all is handed over.
     pub(crate) leaving: Option<oneshot::Sender<()>>,
     view: Arc<View>,
@@ -101,7 +101,7 @@
         board.set_settled(false);
         Self {
             owner: Owner::new(),
-            tenure: Tenure::new(clock.now(), me.host.clone(), me.incarnation, options),
+            tenure: LeaseManager::new(clock.now(), me.host.clone(), me.incarnation, options),
             me,
             leaving: None,
             view: Arc::default(),
