--- a/crates/lentillift-entry/benches/decisions.rs
+++ b/crates/lentillift-entry/benches/decisions.rs
@@ -11,7 +11,7 @@
 use lentillift_entry::answer::Ask;
 use lentillift_entry::core as entry;
 use lentillift_entry::core::Entry;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::view::View;
 use lentillift_owner::core as owner;
 use lentillift_owner::core::Owner;
@@ -170,7 +170,7 @@
         let view = view(shards, 1);
         owner.handle(NOW, owner::Event::View(view.clone()));
         for backend in view.backends.keys().cloned() {
-            let hold = Hold::Until(Duration::MAX);
+            let hold = LeaseState::Until(Duration::MAX);
             owner.handle(NOW, owner::Event::Hold { backend, hold });
         }
         let from: id::Host = "h1".into();
--- a/crates/lentillift-entry/tests/bench/mod.rs
+++ b/crates/lentillift-entry/tests/bench/mod.rs
@@ -21,7 +21,7 @@
 use lentillift_core::time::Time;
 use lentillift_entry::core as entry;
 use lentillift_entry::core::Entry;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_owner::core as owner;
@@ -160,8 +160,8 @@
             );
             for (name, backend) in view.backends.iter() {
                 let hold = match backend.owner.as_ref() == Some(&self.hosts[host]) {
-                    true => Hold::Until(Duration::MAX),
-                    false => Hold::No(None),
+                    true => LeaseState::Until(Duration::MAX),
+                    false => LeaseState::No(None),
                 };
                 let backend = name.clone();
                 let event = owner::Event::Hold { backend, hold };
--- a/crates/lentillift-fleet/src/tenure.rs
+++ b/crates/lentillift-fleet/src/tenure.rs
@@ -67,7 +67,7 @@
 
 /// Whether this process may send work to a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Hold {
+pub enum LeaseState {
     /// It may not; if another host is known to, that one is named.
     No(Option<id::Host>),
     /// It will soon, or another will: work may wait, and must not be sent.
@@ -178,21 +178,21 @@
     }
 
     /// Whether this process may send work to `backend`.
-    pub fn hold(&self, now: Time, backend: &id::Backend) -> Hold {
+    pub fn hold(&self, now: Time, backend: &id::Backend) -> LeaseState {
         let Some(place) = self.places.get(backend) else {
-            return Hold::No(None);
+            return LeaseState::No(None);
         };
         match &place.stage {
             Stage::Idle { holder, .. } => {
                 let granted = self.register.holder(now, backend);
                 let holder = granted.or(holder.as_ref());
                 let other = holder.filter(|holder| **holder != self.host).cloned();
-                Hold::No(other.or_else(|| self.likely(backend)))
+                LeaseState::No(other.or_else(|| self.likely(backend)))
             }
-            Stage::Claiming { transfer: None, .. } => Hold::No(self.likely(backend)),
-            Stage::Claiming { .. } | Stage::Ceding { .. } => Hold::Pending,
-            Stage::Holding { lease } => Hold::Until(lease.until(&place.quorum)),
-            Stage::Ceded { .. } => Hold::Pending,
+            Stage::Claiming { transfer: None, .. } => LeaseState::No(self.likely(backend)),
+            Stage::Claiming { .. } | Stage::Ceding { .. } => LeaseState::Pending,
+            Stage::Holding { lease } => LeaseState::Until(lease.until(&place.quorum)),
+            Stage::Ceded { .. } => LeaseState::Pending,
         }
     }
 
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -3,8 +3,8 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::guardian;
-use lentillift_fleet::tenure::Hold;
 use lentillift_fleet::tenure::LeaseManager;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::tenure::Options;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
@@ -110,5 +110,5 @@
     let mut new = LeaseManager::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
     new.set_view(Time::ZERO, view);
     let named = new.hold(Time::ZERO, &backend);
-    assert_eq!(named, Hold::No(Some(guardians[1].clone())));
+    assert_eq!(named, LeaseState::No(Some(guardians[1].clone())));
 }
--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -17,7 +17,7 @@
 use lentillift_core::sub::Report;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::tenure::Transfer;
 use lentillift_fleet::view::View;
 use lentillift_policy::cost::Costs;
@@ -68,7 +68,7 @@
         /// The backend server.
         backend: id::Backend,
         /// What may be done with it.
-        hold: Hold,
+        hold: LeaseState,
     },
     /// This process has got a lease on a backend server that it had none on.
     Acquired {
@@ -136,7 +136,7 @@
     config: Option<Arc<Config>>,
     policy: Policy,
     /// What the leases of this process allow; what is not here may not be touched.
-    holds: HashMap<id::Backend, Hold>,
+    holds: HashMap<id::Backend, LeaseState>,
     /// When the last requests sent to each backend server are over.
     ends: HashMap<id::Backend, Time>,
     // INVARIANT: Holds no server that this process has no lease on, but for those with a request in
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -7,7 +7,7 @@
 use lentillift_core::id;
 use lentillift_core::sub::Failure;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::tenure::Transfer;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     /// Until when work may be under way at `backend`, if any may be sent now.
     pub(super) fn lease(&self, now: Time, backend: &id::Backend) -> Option<Time> {
         match self.holds.get(backend) {
-            Some(Hold::Until(until)) if now < *until && self.view.fresh(now) => Some(*until),
+            Some(LeaseState::Until(until)) if now < *until && self.view.fresh(now) => Some(*until),
             _ => None,
         }
     }
@@ -34,12 +34,17 @@
     /// Whether work for `backend` may wait here.
     pub fn keeps(&self, backend: &id::Backend) -> bool {
         let hold = self.holds.get(backend);
-        matches!(hold, Some(Hold::Until(_) | Hold::Pending))
+        matches!(hold, Some(LeaseState::Until(_) | LeaseState::Pending))
     }
 
     /// Takes in what may be done with `backend` from now on.
-    pub(super) fn set_hold(&mut self, now: Time, backend: &id::Backend, hold: Hold) -> Vec<Effect> {
-        let lost = matches!(hold, Hold::No(_));
+    pub(super) fn set_hold(
+        &mut self,
+        now: Time,
+        backend: &id::Backend,
+        hold: LeaseState,
+    ) -> Vec<Effect> {
+        let lost = matches!(hold, LeaseState::No(_));
         self.holds.insert(backend.clone(), hold);
         if !lost {
             return self.pump(now, backend);
@@ -58,7 +63,7 @@
     /// Sends what waits for a backend server that is not held here to the host that holds it.
     fn pass_on(&mut self, now: Time, mut waiting: Waiting) -> Effect {
         let left = waiting.deadline.saturating_sub(now);
-        let Some(Hold::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
+        let Some(LeaseState::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
             return self.refuse(now, waiting, Failure::NotOwner);
         };
         let to = holder.clone();
--- a/crates/lentillift-owner/tests/invariants.rs
+++ b/crates/lentillift-owner/tests/invariants.rs
@@ -8,7 +8,7 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::sub::Work;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_owner::core::Effect;
@@ -129,7 +129,7 @@
         bench.handle(Event::View(view(false))).expect("no effect");
         for backend in ["b0", "b1"] {
             let backend = backend.into();
-            let hold = Hold::Until(Time::MAX);
+            let hold = LeaseState::Until(Time::MAX);
             let held = bench.handle(Event::Hold { backend, hold });
             held.expect("no effect");
         }
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -13,8 +13,8 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Clock;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
 use lentillift_fleet::tenure::LeaseManager;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::view::View;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
@@ -169,7 +169,7 @@
         let now = self.clock.now();
         match mail {
             Mail::Sub { from, sub } => match self.tenure.hold(now, &sub.backend) {
-                Hold::No(Some(holder)) => {
+                LeaseState::No(Some(holder)) => {
                     self.peers
                         .send(&holder, Message::Forward { from, sub })
                         .await;
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -10,7 +10,7 @@
 use lentillift_fleet::grant::Claim;
 use lentillift_fleet::grant::Verdict;
 use lentillift_fleet::tenure::Effect;
-use lentillift_fleet::tenure::Hold;
+use lentillift_fleet::tenure::LeaseState;
 use lentillift_fleet::tenure::Transfer;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
@@ -191,7 +191,7 @@
     /// Tells the owner what it may do now.
     async fn changed(&mut self, now: Time, backend: id::Backend) {
         let hold = self.tenure.hold(now, &backend);
-        if matches!(hold, Hold::No(_)) && self.lost(&backend) {
+        if matches!(hold, LeaseState::No(_)) && self.lost(&backend) {
             let detail = format!("no longer held: {hold:?}");
             self.board.event("lease", &backend, detail);
         }
