--- a/crates/lentillift-fleet/src/tenure.rs
+++ b/crates/lentillift-fleet/src/tenure.rs
@@ -178,7 +178,7 @@
     }
 
     /// Whether this process may send work to `backend`.
-    pub fn hold(&self, now: Time, backend: &id::Backend) -> LeaseState {
+    pub fn lease_state(&self, now: Time, backend: &id::Backend) -> LeaseState {
         let Some(place) = self.places.get(backend) else {
             return LeaseState::No(None);
         };
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -109,6 +109,6 @@
     let guardians = view.backends[&backend].guardians.clone();
     let mut new = LeaseManager::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
     new.set_view(Time::ZERO, view);
-    let named = new.hold(Time::ZERO, &backend);
+    let named = new.lease_state(Time::ZERO, &backend);
     assert_eq!(named, LeaseState::No(Some(guardians[1].clone())));
 }
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -168,7 +168,7 @@
     async fn open(&mut self, mail: Mail) {
         let now = self.clock.now();
         match mail {
-            Mail::Sub { from, sub } => match self.tenure.hold(now, &sub.backend) {
+            Mail::Sub { from, sub } => match self.tenure.lease_state(now, &sub.backend) {
                 LeaseState::No(Some(holder)) => {
                     self.peers
                         .send(&holder, Message::Forward { from, sub })
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -190,7 +190,7 @@
 
     /// Tells the owner what it may do now.
     async fn changed(&mut self, now: Time, backend: id::Backend) {
-        let hold = self.tenure.hold(now, &backend);
+        let hold = self.tenure.lease_state(now, &backend);
         if matches!(hold, LeaseState::No(_)) && self.lost(&backend) {
             let detail = format!("no longer held: {hold:?}");
             self.board.event("lease", &backend, detail);
