--- a/crates/lentillift-fleet/src/tenure/guard.rs
+++ b/crates/lentillift-fleet/src/tenure/guard.rs
@@ -11,7 +11,7 @@
 
 impl LeaseManager {
     /// Decides on claims as a guardian.
-    pub fn claimed(
+    pub fn handle_claims(
         &mut self,
         now: Time,
         host: &id::Host,
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -122,9 +122,9 @@
         from: &Peer,
         claims: Vec<Claim>,
     ) -> (Vec<(id::Backend, Attempt, Verdict)>, Vec<Effect>) {
-        let (verdicts, effects) = self
-            .tenure
-            .claimed(now, &from.host, from.incarnation, &claims);
+        let (verdicts, effects) =
+            self.tenure
+                .handle_claims(now, &from.host, from.incarnation, &claims);
         let answers = claims.into_iter().zip(verdicts);
         let answers = answers.map(|(claim, verdict)| (claim.backend, claim.attempt, verdict));
         (answers.collect(), effects)
