--- a/crates/lentillift-fleet/src/tenure/guard.rs
+++ b/crates/lentillift-fleet/src/tenure/guard.rs
@@ -39,7 +39,7 @@
     }
 
     /// Takes back a grant as a guardian.
-    pub fn released(
+    pub fn handle_release(
         &mut self,
         now: Time,
         host: &id::Host,
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -78,7 +78,8 @@
             } => self.tenure.granted(now, &from, sent, verdicts),
             Mail::Release { from, released } => {
                 let Peer { host, incarnation } = from;
-                self.tenure.released(now, &host, incarnation, &released);
+                self.tenure
+                    .handle_release(now, &host, incarnation, &released);
                 Vec::new()
             }
             Mail::Cede(transfer) => self.tenure.handed(now, transfer),
@@ -151,7 +152,7 @@
                 Effect::Release { to, released } if to == self.me.host => {
                     let me = self.me.clone();
                     self.tenure
-                        .released(now, &me.host, me.incarnation, &released);
+                        .handle_release(now, &me.host, me.incarnation, &released);
                 }
                 Effect::Release { to, released } => {
                     self.peers.send(&to, Message::Release(released)).await;
