--- a/crates/lentillift-fleet/src/tenure/claim.rs
+++ b/crates/lentillift-fleet/src/tenure/claim.rs
@@ -160,7 +160,7 @@
     }
 
     /// Takes in a guardian's answers to claims that were sent at `sent`.
-    pub fn granted(
+    pub fn handle_verdicts(
         &mut self,
         now: Time,
         by: &id::Host,
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -75,7 +75,7 @@
                 from,
                 sent,
                 verdicts,
-            } => self.tenure.granted(now, &from, sent, verdicts),
+            } => self.tenure.handle_verdicts(now, &from, sent, verdicts),
             Mail::Release { from, released } => {
                 let Peer { host, incarnation } = from;
                 self.tenure
@@ -141,7 +141,7 @@
                     let me = self.me.clone();
                     let (verdicts, effects) = self.decide(now, &me, claims);
                     queue.extend(effects);
-                    queue.extend(self.tenure.granted(now, &me.host, sent, verdicts));
+                    queue.extend(self.tenure.handle_verdicts(now, &me.host, sent, verdicts));
                 }
                 Effect::Claim { to, sent, claims } => {
                     let count = claims.len() as u64;
