--- a/crates/lentillift-fleet/src/tenure/handover.rs
+++ b/crates/lentillift-fleet/src/tenure/handover.rs
@@ -61,7 +61,7 @@
     }
 
     /// Takes up what another process hands over.
-    pub fn handed(&mut self, now: Time, transfer: Transfer) -> Vec<Effect> {
+    pub fn accept_transfer(&mut self, now: Time, transfer: Transfer) -> Vec<Effect> {
         let name = transfer.backend.clone();
         if self.leaving || self.view.is_out(&self.host) {
             return Vec::new();
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -82,7 +82,7 @@
                     .handle_release(now, &host, incarnation, &released);
                 Vec::new()
             }
-            Mail::Cede(transfer) => self.tenure.handed(now, transfer),
+            Mail::Cede(transfer) => self.tenure.accept_transfer(now, transfer),
             Mail::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
             Mail::Returned { from, sub } => {
                 let message = Message::Result {
