--- a/crates/lentillift-fleet/src/tenure/handover.rs
+++ b/crates/lentillift-fleet/src/tenure/handover.rs
@@ -90,7 +90,12 @@
     }
 
     /// Notes that a successor has taken over.
-    pub fn confirmed(&mut self, now: Time, name: &id::Backend, by: &id::Host) -> Vec<Effect> {
+    pub fn handle_confirmation(
+        &mut self,
+        now: Time,
+        name: &id::Backend,
+        by: &id::Host,
+    ) -> Vec<Effect> {
         let Some(place) = self.places.get_mut(name) else {
             return Vec::new();
         };
--- a/crates/lentilliftd/src/tenure.rs
+++ b/crates/lentilliftd/src/tenure.rs
@@ -83,7 +83,7 @@
                 Vec::new()
             }
             Mail::Cede(transfer) => self.tenure.accept_transfer(now, transfer),
-            Mail::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
+            Mail::Ceded { by, backend } => self.tenure.handle_confirmation(now, &backend, &by),
             Mail::Returned { from, sub } => {
                 let message = Message::Result {
                     desk: sub.work.desk(),
