--- a/crates/lentillift-fleet/src/tenure/guard.rs
+++ b/crates/lentillift-fleet/src/tenure/guard.rs
@@ -57,7 +57,7 @@
     }
 
     /// The number of backend servers that this process guards.
-    pub fn guarded(&self) -> usize {
+    pub fn guarded_count(&self) -> usize {
         self.places.len()
     }
 }
