--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -117,7 +117,7 @@
     }
 
     /// Asks other seeds from now on.
-    pub fn reseed(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -379,7 +379,7 @@
                 seeds = tuning.seeds.len(),
                 "settings changed"
             );
-            host.swim.borrow_mut().reseed(tuning.seeds);
+            host.swim.borrow_mut().set_seeds(tuning.seeds);
             host.core.borrow_mut().options = tuning.options;
         }
     }
