--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether a host is in this process's region.
-    pub fn is_home(&self, member: &Member) -> bool {
+    pub fn is_same_region(&self, member: &Member) -> bool {
         self.home.get(&member.domain) == self.home.get(&self.own.domain)
     }
 
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -119,7 +119,7 @@
         domain: host.domain.clone(),
     };
     let swim = host.swim.borrow();
-    let alive = swim.answering().filter(|m| swim.is_home(m));
+    let alive = swim.answering().filter(|m| swim.is_same_region(m));
     let others: Vec<Candidate> = alive
         .map(|m| Candidate {
             host: m.host.clone(),
