--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -305,7 +305,7 @@
     /// Checks a query and pins it to a snapshot.
     fn check(&self, now: Time, ask: &Ask) -> Result<Query, Refusal> {
         // A process that was paused or cut off knows nothing of what was taken out meanwhile.
-        if !self.view.fresh(now) {
+        if !self.view.is_fresh(now) {
             return Err(Refusal::new(Cause::Stale, "no fresh view of the fleet")
                 .retry_after(Duration::from_secs(1)));
         }
--- a/crates/lentillift-fleet/src/picture.rs
+++ b/crates/lentillift-fleet/src/picture.rs
@@ -50,7 +50,7 @@
         let old = &self.picture.view;
         let renewal = until != old.fresh_until && self.picture.drawn + RENEWAL <= now;
         // A process that lost or regained its proof must act on that at once.
-        let turned = old.fresh(now) != (now < until);
+        let turned = old.is_fresh(now) != (now < until);
         if !self.picture.hosts && !renewal && !turned {
             return None;
         }
--- a/crates/lentillift-fleet/src/view.rs
+++ b/crates/lentillift-fleet/src/view.rs
@@ -191,7 +191,7 @@
     }
 
     /// Whether the process may still act on this picture at `now`.
-    pub fn fresh(&self, now: Time) -> bool {
+    pub fn is_fresh(&self, now: Time) -> bool {
         now < self.fresh_until
     }
 
--- a/crates/lentillift-fleet/tests/common/mod.rs
+++ b/crates/lentillift-fleet/tests/common/mod.rs
@@ -466,7 +466,7 @@
 
     /// Whether a process would act on its view now.
     pub fn fresh(&self, number: usize) -> bool {
-        self.view(number).fresh(self.now)
+        self.view(number).is_fresh(self.now)
     }
 
     /// Revision of the configuration in force at a process.
--- a/crates/lentillift-once/src/core.rs
+++ b/crates/lentillift-once/src/core.rs
@@ -222,7 +222,7 @@
         caller: &id::Caller,
     ) -> Result<(), Refusal> {
         // A process that was paused or cut off knows nothing of what was taken out meanwhile.
-        if !self.view.fresh(now) {
+        if !self.view.is_fresh(now) {
             let refusal = Refusal::new(Cause::Stale, "no fresh view of the fleet");
             return Err(refusal.retry_after(RETRY_AFTER));
         }
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -26,7 +26,9 @@
     /// Until when work may be under way at `backend`, if any may be sent now.
     pub(super) fn lease(&self, now: Time, backend: &id::Backend) -> Option<Time> {
         match self.holds.get(backend) {
-            Some(LeaseState::Until(until)) if now < *until && self.view.fresh(now) => Some(*until),
+            Some(LeaseState::Until(until)) if now < *until && self.view.is_fresh(now) => {
+                Some(*until)
+            }
             _ => None,
         }
     }
--- a/crates/lentillift-owner/src/core/intake.rs
+++ b/crates/lentillift-owner/src/core/intake.rs
@@ -33,7 +33,7 @@
             return Some(Failure::NotOwner);
         }
         // A process that was paused can't know what was taken out meanwhile.
-        if !self.view.fresh(now) || !self.view.in_service(&sub.backend) {
+        if !self.view.is_fresh(now) || !self.view.in_service(&sub.backend) {
             return Some(Failure::Out);
         }
         let server = self.servers.get(&sub.backend)?;
