--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -17,8 +17,8 @@
 //! other by the way, and followers go on to the next in their order, which holds the service itself.
 
 pub mod proof;
+pub mod relay_path;
 pub mod search;
-pub mod way;
 
 use crate::rendezvous;
 use lentillift_core::id;
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -20,7 +20,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Clock;
 use lentillift_fleet::follow;
-use lentillift_fleet::follow::way::RelayPath;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::member::Member;
 use lentillift_fleet::probe;
 use lentillift_fleet::swim::Swim;
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -14,7 +14,7 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Origin;
 use lentillift_fleet::follow::proof;
-use lentillift_fleet::follow::way::RelayPath;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_scatter::source::News;
 use std::time::Duration;
 use tracing::info;
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -14,7 +14,7 @@
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Admission;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::way::RelayPath;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::swim::Swim;
 use lentillift_scatter::catalog::Catalog;
 use lentillift_scatter::catalog::Change;
