--- a/crates/lentillift-entry/tests/bench/mod.rs
+++ b/crates/lentillift-entry/tests/bench/mod.rs
@@ -21,7 +21,7 @@
 use lentillift_core::time::Time;
 use lentillift_entry::core as entry;
 use lentillift_entry::core::Entry;
-use lentillift_fleet::tenure::LeaseState;
+use lentillift_fleet::lease_manager::LeaseState;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_owner::core as owner;
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -3,9 +3,9 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::guardian;
-use lentillift_fleet::tenure::LeaseManager;
-use lentillift_fleet::tenure::LeaseState;
-use lentillift_fleet::tenure::Options;
+use lentillift_fleet::lease_manager::LeaseManager;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Options;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_settings::placement::Placement;
--- a/crates/lentillift-node/src/lease.rs
+++ b/crates/lentillift-node/src/lease.rs
@@ -3,7 +3,7 @@
 use bincode::Decode;
 use bincode::Encode;
 use lentillift_fleet::grant;
-use lentillift_fleet::tenure;
+use lentillift_fleet::lease_manager;
 use std::time::Duration;
 
 /// See [`grant::Holder`].
@@ -37,7 +37,7 @@
     Outdated,
 }
 
-/// See [`tenure::Transfer`].
+/// See [`lease_manager::Transfer`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Transfer {
     backend: String,
@@ -113,8 +113,8 @@
     }
 }
 
-impl From<tenure::Transfer> for Transfer {
-    fn from(transfer: tenure::Transfer) -> Self {
+impl From<lease_manager::Transfer> for Transfer {
+    fn from(transfer: lease_manager::Transfer) -> Self {
         Self {
             backend: transfer.backend.to_string(),
             from: transfer.from.into(),
@@ -125,7 +125,7 @@
     }
 }
 
-impl From<Transfer> for tenure::Transfer {
+impl From<Transfer> for lease_manager::Transfer {
     fn from(transfer: Transfer) -> Self {
         Self {
             backend: transfer.backend.into(),
--- a/crates/lentillift-owner/src/core/hold.rs
+++ b/crates/lentillift-owner/src/core/hold.rs
@@ -7,8 +7,8 @@
 use lentillift_core::id;
 use lentillift_core::sub::Failure;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::LeaseState;
-use lentillift_fleet::tenure::Transfer;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Transfer;
 use std::time::Duration;
 
 /// What a successor must know of a backend server that is handed over.
--- a/crates/lentillift-owner/src/server.rs
+++ b/crates/lentillift-owner/src/server.rs
@@ -8,7 +8,7 @@
 use lentillift_core::sub::Load;
 use lentillift_core::sub::Report;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Transfer;
+use lentillift_fleet::lease_manager::Transfer;
 use lentillift_policy::count::Name;
 use lentillift_policy::health;
 use lentillift_policy::health::Health;
--- a/crates/lentillift-owner/tests/invariants.rs
+++ b/crates/lentillift-owner/tests/invariants.rs
@@ -8,7 +8,7 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::sub::Work;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::LeaseState;
+use lentillift_fleet::lease_manager::LeaseState;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_owner::core::Effect;
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -13,8 +13,8 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Clock;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::LeaseManager;
-use lentillift_fleet::tenure::LeaseState;
+use lentillift_fleet::lease_manager::LeaseManager;
+use lentillift_fleet::lease_manager::LeaseState;
 use lentillift_fleet::view::View;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
@@ -97,7 +97,7 @@
         board: Board,
         mail: mpsc::Sender<Mail>,
     ) -> Self {
-        let options = lentillift_fleet::tenure::Options::default();
+        let options = lentillift_fleet::lease_manager::Options::default();
         board.set_settled(false);
         Self {
             owner: Owner::new(),
