--- a/crates/lentillift-fleet/src/value.rs
+++ b/crates/lentillift-fleet/src/value.rs
@@ -38,7 +38,7 @@
     ///
     /// Two operators may publish one revision with different contents. Without this, some processes
     /// would keep the one and some the other for good.
-    pub sum: u64,
+    pub checksum: u64,
 }
 
 /// A value that is in force.
@@ -124,7 +124,10 @@
     pub fn offer(&mut self, key: &str, version: u64, body: &[u8]) -> Result<Offer> {
         let (revision, checked) = check(key, body)?;
         let sum = XxHash64::oneshot(0, body);
-        let mark = Stamp { revision, sum };
+        let mark = Stamp {
+            revision,
+            checksum: sum,
+        };
         if mark == self.mark(key)
             && let Some(held) = self.held.get_mut(key)
         {
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -141,7 +141,7 @@
     fn from(mark: value::Stamp) -> Self {
         Self {
             revision: mark.revision,
-            sum: mark.sum,
+            sum: mark.checksum,
         }
     }
 }
@@ -150,7 +150,7 @@
     fn from(mark: Mark) -> Self {
         Self {
             revision: mark.revision,
-            sum: mark.sum,
+            checksum: mark.sum,
         }
     }
 }
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -49,7 +49,10 @@
 }
 
 fn mark() -> impl Strategy<Value = Stamp> {
-    any::<(u64, u64)>().prop_map(|(revision, sum)| Stamp { revision, sum })
+    any::<(u64, u64)>().prop_map(|(revision, sum)| Stamp {
+        revision,
+        checksum: sum,
+    })
 }
 
 fn news() -> impl Strategy<Value = Update> {
