--- a/crates/lentillift-entry/src/core/doubt.rs
+++ b/crates/lentillift-entry/src/core/doubt.rs
@@ -72,7 +72,7 @@
         let process = quarantine::process_id(&flight.backend, id);
         let end = End { process, canary };
         self.quarantine
-            .ended(&Options::default(), query.fingerprint, end, now);
+            .record_end(&Options::default(), query.fingerprint, end, now);
     }
 
     /// Notes that a server replied to a query, and asks for the shards that waited for that.
--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -172,7 +172,7 @@
     }
 
     /// Notes a server that ended while it had the request, with no reply of another to it.
-    pub fn ended(&mut self, options: &Options, fingerprint: Fingerprint, end: End, now: Time) {
+    pub fn record_end(&mut self, options: &Options, fingerprint: Fingerprint, end: End, now: Time) {
         self.make_room(options, fingerprint, now);
         let canary_ends = self.canary_ends(options, fingerprint, now);
         let record = self.records.entry(fingerprint).or_default();
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -44,8 +44,8 @@
     for event in events {
         let end = |process, canary| End { process, canary };
         match *event {
-            Ends(process) => table.ended(&options, fatal(), end(process, false), now),
-            CanaryEnds(process) => table.ended(&options, fatal(), end(process, true), now),
+            Ends(process) => table.record_end(&options, fatal(), end(process, false), now),
+            CanaryEnds(process) => table.record_end(&options, fatal(), end(process, true), now),
             Answered => table.answered(&options, fatal(), now),
         }
     }
@@ -228,7 +228,7 @@
             canary: false,
         };
         let path = format!("/{n}");
-        table.ended(&options, fingerprint(&path), end, NOON + MS);
+        table.record_end(&options, fingerprint(&path), end, NOON + MS);
     }
     assert_eq!(
         table.shared_records(usize::MAX, NOON).len(),
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -133,7 +133,7 @@
                 process,
                 canary: process > 0,
             };
-            host.ended(&Options::default(), fingerprint, end, NOON);
+            host.record_end(&Options::default(), fingerprint, end, NOON);
         }
         fingerprint
     }
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -402,7 +402,7 @@
             let process = quarantine::process_id(id, *born);
             let end = End { process, canary };
             let options = &self.options.quarantine;
-            self.quarantine.ended(options, known, end, now);
+            self.quarantine.record_end(options, known, end, now);
         }
     }
 
--- a/crates/lentillift-scatter/tests/suspects.rs
+++ b/crates/lentillift-scatter/tests/suspects.rs
@@ -181,7 +181,7 @@
     };
     let content = common::fingerprint("/q/x");
     core.quarantine
-        .ended(&core.options.quarantine, content, end(1), NOON);
+        .record_end(&core.options.quarantine, content, end(1), NOON);
     let view = core.view.clone().expect("a view");
     let plan = Plan::branch(&Arc::new(route), &view, names(5), NOON, NOON + PATIENCE);
     let (query, sends) = Query::start(&mut core, plan.with(content), NOON);
