--- a/crates/lentillift-entry/src/core/doubt.rs
+++ b/crates/lentillift-entry/src/core/doubt.rs
@@ -83,7 +83,7 @@
         let held = std::mem::take(&mut query.held);
         query.canary = None;
         self.quarantine
-            .answered(&Options::default(), query.fingerprint, now);
+            .record_reply(&Options::default(), query.fingerprint, now);
         let mut effects = Vec::new();
         for position in held {
             effects.extend(self.ask_held(now, run, position));
--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -188,7 +188,7 @@
     }
 
     /// Notes that a server ran the request and replied.
-    pub fn answered(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) {
+    pub fn record_reply(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) {
         self.proven.note(fingerprint, now, options.records);
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.clear(now);
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -46,7 +46,7 @@
         match *event {
             Ends(process) => table.record_end(&options, fatal(), end(process, false), now),
             CanaryEnds(process) => table.record_end(&options, fatal(), end(process, true), now),
-            Answered => table.answered(&options, fatal(), now),
+            Answered => table.record_reply(&options, fatal(), now),
         }
     }
 }
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -424,7 +424,7 @@
     pub fn server_answered(&mut self, fingerprint: Option<Fingerprint>, now: Time) {
         if let Some(known) = self.remembers(fingerprint) {
             self.quarantine
-                .answered(&self.options.quarantine, known, now);
+                .record_reply(&self.options.quarantine, known, now);
         }
     }
 
