--- a/crates/lentillift-fleet/src/census.rs
+++ b/crates/lentillift-fleet/src/census.rs
@@ -1,4 +1,5 @@
-//! Figures about the fleet that would cost a pass over all hosts at each tick.
+//! Fleet statistics, cached because each takes a pass over all hosts and they are needed at each
+//! tick.
 
 use crate::core::Fleet;
 use crate::member::Member;
@@ -7,21 +8,21 @@
 use crate::view::Stage;
 use lentillift_core::time::Time;
 
-/// Figures about the fleet.
+/// Cached statistics about the fleet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Census {
-    /// What it was taken from: changes of hosts, changes of values, turn of watching.
+    /// Inputs of the statistics: change counter of the hosts, digest of the values, watch slot.
     basis: Option<(u64, u64, u64)>,
-    /// Hosts that are not over, this one included.
+    /// Number of hosts that have not ended, this one included.
     pub(crate) hosts: usize,
-    /// Whether every other host that is known has ended by its own word.
+    /// Whether every other known host has announced its end.
     pub(crate) alone: bool,
-    /// Whether it is this process's turn to watch the configuration service.
+    /// Whether this process watches the configuration service in the current slot.
     pub(crate) watcher: bool,
 }
 
 impl<R> Fleet<R> {
-    /// The figures, taken anew if anything they rest on has changed.
+    /// The statistics, recomputed if any of their inputs has changed.
     pub(crate) fn census(&mut self, now: Time) -> Census {
         let slot = read::slot(&self.options.read, self.options.wall + now);
         let basis = Some((self.table.changes(), self.store.digest(), slot));
--- a/crates/lentillift-fleet/src/gossip.rs
+++ b/crates/lentillift-fleet/src/gossip.rs
@@ -1,8 +1,8 @@
-//! News that this process still passes on.
+//! Queue of updates that this process still has to spread by gossip.
 //!
-//! Load pattern: a burst of changes, as when a rack goes or half the fleet is replaced. Each change
-//! is passed on a bounded number of times and datagrams are bounded, so that a burst takes longer to
-//! spread but never sends more per second.
+//! Scenario: a burst of changes, as when a rack fails or half the fleet is replaced. Each change is
+//! sent a bounded number of times and datagrams are bounded, so that a burst takes longer to spread
+//! but never sends more per second.
 
 use crate::member::Member;
 use crate::packet::UPDATES_BYTES;
@@ -11,13 +11,13 @@
 use lentillift_core::id;
 use std::collections::BTreeMap;
 
-/// Copies of one piece of news for each doubling of the fleet.
+/// Copies of one update for each doubling of the fleet.
 ///
-/// With as many random receivers as doublings everybody hears of it nearly certainly; three times
-/// as many bears the loss of half the datagrams.
+/// With as many random receivers as doublings an update reaches nearly every host; three times as
+/// many tolerate the loss of half the datagrams.
 const COPIES: u32 = 3;
 
-/// What news is about; newer news replaces older about the same.
+/// Subject of an update; a newer update replaces an older one with the same subject.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Host(id::Host),
@@ -27,20 +27,20 @@
 #[derive(Debug)]
 struct Item {
     news: Update,
-    /// Times it is still to be sent.
+    /// Number of times that the update is still to be sent.
     left: u32,
-    /// Whether it has not been sent yet.
+    /// Whether the update has not been sent yet.
     new: bool,
 }
 
-/// News that this process still passes on.
+/// Updates that this process still has to spread.
 #[derive(Debug, Default)]
 pub struct Queue {
     items: BTreeMap<Subject, Item>,
 }
 
 impl Queue {
-    /// Adds news, to be sent to so many others that all of `hosts` hear of it.
+    /// Adds an update, to be sent often enough to reach all of `hosts`.
     pub fn push(&mut self, news: Update, hosts: usize) {
         let subject = match &news {
             Update::Member(member) => Subject::Host(member.host.clone()),
@@ -55,12 +55,13 @@
         self.items.insert(subject, item);
     }
 
-    /// Whether something has not been sent to anybody yet.
+    /// Whether some update has not been sent to anybody yet.
     pub fn has_new(&self) -> bool {
         self.items.values().any(|item| item.new)
     }
 
-    /// Takes news for one datagram that also tells its receiver what is held against it.
+    /// Takes updates for one datagram, and adds `against`, a record by which its receiver is
+    /// suspect, dead or gone.
     pub fn take_with(&mut self, against: Option<Member>) -> Vec<Update> {
         let against = against.map(Update::Member);
         let mut news = self.take(against.as_ref().map_or(0, Update::bytes));
@@ -68,7 +69,8 @@
         news
     }
 
-    /// Takes news for one datagram beside `used` bytes, what was sent least often first.
+    /// Takes updates for one datagram with `used` bytes of other updates, those sent least often
+    /// first.
     pub fn take(&mut self, used: usize) -> Vec<Update> {
         let mut order: Vec<&mut Item> = self.items.values_mut().collect();
         order.sort_by_key(|item| std::cmp::Reverse((item.new, item.left)));
--- a/crates/lentillift-fleet/src/life.rs
+++ b/crates/lentillift-fleet/src/life.rs
@@ -1,6 +1,6 @@
-//! The life of this process, as it tells the others: starting, serving, leaving, gone.
+//! Lifecycle of this process as it announces it to the others: starting, serving, leaving, gone.
 //!
-//! Each state is a type of its own, so that no code can go back from one to an earlier.
+//! Each stage is a type of its own, so that no code can return to an earlier one.
 
 use crate::member::Member;
 use crate::member::Version;
@@ -8,32 +8,32 @@
 use crate::view::Stage;
 use std::marker::PhantomData;
 
-/// It gathers what it must know before it takes work.
+/// The process collects the state that it needs before it accepts work.
 #[derive(Debug)]
 pub struct Starting;
 
-/// It takes work.
+/// The process accepts work.
 #[derive(Debug)]
 pub struct Serving;
 
-/// It finishes what it has and takes nothing new.
+/// The process finishes its work and accepts nothing new.
 #[derive(Debug)]
 pub struct Leaving;
 
-/// It has ended.
+/// The process has ended.
 #[derive(Debug)]
 pub struct Gone;
 
-/// This process in state `S`.
+/// This process in stage `S`.
 #[derive(Debug)]
 pub struct Life<S> {
-    // INVARIANT: `member.stage` is the one that belongs to `S`, and `member.health` is alive.
+    // INVARIANT: `member.stage` corresponds to `S`, and `member.health` is alive.
     member: Member,
     state: PhantomData<S>,
 }
 
 impl<S> Life<S> {
-    /// What the process says of itself.
+    /// The record that the process announces of itself.
     pub fn member(&self) -> &Member {
         &self.member
     }
@@ -53,7 +53,7 @@
 }
 
 impl Life<Starting> {
-    /// Starts; version and incarnation are those of `member`.
+    /// Starts with the version and incarnation of `member`.
     pub fn start(member: Member) -> Self {
         let member = Member {
             stage: Stage::Starting,
@@ -66,32 +66,32 @@
         }
     }
 
-    /// Takes work from now on.
+    /// Accepts work from now on.
     pub fn serve(self) -> Life<Serving> {
         self.become_next(Stage::Serving)
     }
 
-    /// Leaves before it ever took work.
+    /// Leaves before it has ever accepted work.
     pub fn leave(self) -> Life<Leaving> {
         self.become_next(Stage::Leaving)
     }
 }
 
 impl Life<Serving> {
-    /// Takes nothing new from now on.
+    /// Accepts nothing new from now on.
     pub fn leave(self) -> Life<Leaving> {
         self.become_next(Stage::Leaving)
     }
 }
 
 impl Life<Leaving> {
-    /// Has nothing left to do.
+    /// Ends, with no work left.
     pub fn end(self) -> Life<Gone> {
         self.become_next(Stage::Gone)
     }
 }
 
-/// This process in any state.
+/// This process in any stage.
 #[derive(Debug)]
 pub enum Any {
     /// See [`Starting`].
@@ -105,7 +105,7 @@
 }
 
 impl Any {
-    /// What the process says of itself.
+    /// The record that the process announces of itself.
     pub fn member(&self) -> &Member {
         match self {
             Self::Starting(life) => life.member(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes work from now on, if it was starting.
+    /// Accepts work from now on, if it was starting.
     pub fn serve(self) -> Self {
         match self {
             Self::Starting(life) => Self::Serving(life.serve()),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes nothing new from now on.
+    /// Accepts nothing new from now on, unless it has ended.
     pub fn leave(self) -> Self {
         match self {
             Self::Starting(life) => Self::Leaving(life.leave()),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Has nothing left to do.
+    /// Ends, from any stage.
     pub fn end(self) -> Self {
         match self.leave() {
             Self::Leaving(life) => Self::Gone(life.end()),
@@ -140,10 +140,11 @@
         }
     }
 
-    /// Contradicts an account of this process that is not its own; says whether that was needed.
+    /// Refutes a record of this process that it did not issue; returns whether that was needed.
     ///
-    /// Others may hold it for dead after a pause, or remember a former process of this host whose
-    /// clock was ahead. Their account would hold until this process goes beyond its version.
+    /// Other processes may consider this one dead after a pause, or remember an earlier process of
+    /// this host whose clock was ahead. Their record would win until this process exceeds its
+    /// version.
     pub fn refute(&mut self, news: &Member) -> bool {
         let member = match self {
             Self::Starting(life) => &mut life.member,
--- a/crates/lentillift-fleet/src/member.rs
+++ b/crates/lentillift-fleet/src/member.rs
@@ -1,4 +1,5 @@
-//! What is known of each host, and which of two accounts of a host holds.
+//! Membership table: the records of all other hosts, and the rules that decide which of two records
+//! of one host replaces the other.
 
 use crate::view::Health;
 use crate::view::Stage;
@@ -13,57 +14,57 @@
 use std::time::Duration;
 use twox_hash::XxHash64;
 
-/// Number by which accounts of one host are told apart; only the host itself raises it.
+/// Version of a host's record. Only the host itself raises it.
 ///
-/// It starts at the incarnation, which a later start exceeds.
+/// It starts at the incarnation, which is higher at each later start.
 pub type Version = u64;
 
-/// How long a host that ended or died is remembered once it is no longer published.
+/// How long a host that has ended or died is remembered once it is no longer published.
 ///
-/// Longer than any account of it may be on its way, so that a late one does not bring it back.
+/// Longer than any record of it can be in flight, so that a late record does not bring it back.
 const MEMORY: Duration = Duration::from_secs(120);
 
-/// Hosts that are remembered at most beside those that are published.
+/// Maximum number of hosts remembered besides the published ones.
 ///
-/// A faulty peer that invents hosts would otherwise fill the memory of the whole fleet.
+/// Without a limit, a faulty peer that invents hosts would fill the memory of the whole fleet.
 const MOST: usize = 2048;
 
-/// One account of a host.
+/// Record of a host, as exchanged between processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The host's name.
+    /// Name of the host.
     pub host: id::Host,
-    /// Where its process listens for the others, by TCP and UDP.
+    /// Address at which its process listens for other processes, by TCP and UDP.
     pub address: SocketAddr,
-    /// The failure domain it is in.
+    /// Failure domain of the host.
     pub domain: id::Domain,
-    /// The incarnation of its process.
+    /// Incarnation of the process on this host.
     pub incarnation: id::Incarnation,
-    /// Which account this is; 0 if it is only known from the published list.
+    /// Version of this record; 0 for a host known only from the published list.
     pub version: Version,
-    /// How far its process has come.
+    /// Lifecycle stage that the process has announced.
     pub stage: Stage,
-    /// Whether it answers.
+    /// Result of probing the host.
     pub health: Health,
 }
 
 impl Member {
-    /// Whether this account holds against `other` of the same host.
+    /// Whether this record replaces `other`, a record of the same host.
     ///
-    /// The host's own later word beats everything; of one version, the worst news holds until the
-    /// host contradicts.
+    /// A higher version, which only the host itself issues, wins over everything else. Within one
+    /// version the worse health wins until the host refutes it with a higher version.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.version, self.health) > (other.version, other.health)
     }
 
-    /// Whether its process has ended, as it said itself or as others found.
+    /// Whether the process has ended, by its own announcement or because probes failed.
     pub fn is_over(&self) -> bool {
         self.stage == Stage::Gone || self.health == Health::Dead
     }
 
-    /// Contribution to a table's digest.
+    /// Contribution of this record to a table's digest.
     ///
-    /// Hosts that are over count for nothing, because tables forget them at different times.
+    /// Hosts that have ended contribute 0, because tables forget them at different times.
     pub fn digest(&self) -> u64 {
         if self.version == 0 || self.is_over() {
             return 0;
@@ -74,46 +75,48 @@
     }
 }
 
-/// A member and when its account last changed.
+/// A record and the time of its last change.
 #[derive(Debug, Clone)]
 struct Record {
     member: Member,
     since: Time,
 }
 
-/// All hosts that this process knows of but itself.
+/// Records of all known hosts except this one.
 #[derive(Debug, Default)]
 pub struct Table {
     records: BTreeMap<id::Host, Record>,
-    /// Hosts that the platform's list names.
+    /// Hosts on the platform's published list.
     published: BTreeSet<id::Host>,
-    // INVARIANT: The hosts whose record is suspect.
+    // INVARIANT: The hosts whose record says that they are suspect.
     suspects: BTreeSet<id::Host>,
-    // INVARIANT: Exclusive or of `Member::digest` over all records.
+    // INVARIANT: XOR of `Member::digest` over all records.
     digest: u64,
-    // INVARIANT: Rises with every change of a record.
+    // INVARIANT: Increases with every change of a record.
     changes: u64,
 }
 
 impl Table {
-    /// The account of `host`.
+    /// The record of `host`, if it is known.
     pub fn get(&self, host: &str) -> Option<&Member> {
         self.records.get(host).map(|record| &record.member)
     }
 
-    /// What is held against `host`: that it does not answer, or has ended. Told of it, it can contradict.
+    /// The record of `host` if it says that the host is suspect, dead or gone.
+    ///
+    /// It is sent to that host, which can then refute it.
     pub fn against(&self, host: &str) -> Option<Member> {
         let member = self.get(host)?;
         let held = member.health != Health::Alive || member.stage == Stage::Gone;
         held.then(|| member.clone())
     }
 
-    /// All accounts, in the order of the hosts' names.
+    /// All records, in order of host name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.records.values().map(|record| &record.member)
     }
 
-    /// Hosts that are known.
+    /// Number of known hosts, this one excluded.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -123,15 +126,15 @@
         self.records.is_empty()
     }
 
-    /// Whether the platform's list names `host`.
+    /// Whether the platform's list contains `host`.
     pub fn is_published(&self, host: &str) -> bool {
         self.published.contains(host)
     }
 
-    /// Whether a host that is over should be asked now and then whether it is back.
+    /// Whether a host that has ended should still be probed occasionally.
     ///
-    /// Hosts that the platform's list no longer names are not expected back; without a list, any
-    /// that stopped answering may be on the other side of a partition.
+    /// Hosts that are no longer on the platform's list are not expected back. Without a list, any
+    /// host that stopped answering may be on the other side of a partition.
     pub fn may_return(&self, host: &str) -> bool {
         match self.published.is_empty() {
             true => self.get(host).is_some_and(|m| m.stage != Stage::Gone),
@@ -139,25 +142,26 @@
         }
     }
 
-    /// Equal for two tables that hold the same accounts of the hosts that are not over.
+    /// Order-independent hash of the records of hosts that have not ended; equal for tables with
+    /// the same ones.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The hosts that are suspected.
+    /// Records of the suspected hosts.
     pub fn suspects(&self) -> impl Iterator<Item = &Member> {
         self.suspects.iter().filter_map(|host| self.get(host))
     }
 
-    /// A number that rises with every change.
+    /// Counter that increases with every change of a record.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Takes in an account; says whether it holds and is new.
+    /// Merges a received record; returns whether it was new or replaced the known one.
     pub fn merge(&mut self, now: Time, news: &Member) -> bool {
-        // The end of a host that was not known is remembered too: an older account that comes
-        // later would bring the host to life.
+        // The end of an unknown host is recorded too: an older record that arrives later would
+        // otherwise bring the host back to life.
         let holds = match self.get(&news.host) {
             Some(known) => news.supersedes(known),
             None => self.records.len() < self.published.len() + MOST,
@@ -182,9 +186,9 @@
         }
     }
 
-    /// Notes that `host` failed to answer, if `version` is still the one that is known.
+    /// Records that `host` failed to answer, if `version` is still the known one.
     ///
-    /// Returns the new account, to be told to others.
+    /// Returns the new record, which is to be sent to other hosts.
     pub fn judge(
         &mut self,
         now: Time,
@@ -203,11 +207,12 @@
         self.merge(now, &worse).then_some(worse)
     }
 
-    /// Takes in the published list, which lags behind what peers tell.
+    /// Applies the published list, which lags behind what peers report.
     ///
-    /// It only makes hosts known that should be asked. What a host said of itself, and what others
-    /// found out about it, stays: an old entry brings no host back that has left. A host that is
-    /// over and is published with another address is a new one under an old name, to be asked there.
+    /// It only adds hosts that should be probed. What a host announced about itself, and what
+    /// others found by probing it, is kept: an old entry does not bring back a host that has left.
+    /// A host that has ended and is published with another address is a new host under an old name,
+    /// and is probed at the new address.
     pub fn publish(&mut self, now: Time, me: &str, roster: &Roster) {
         self.published = roster.hosts.keys().cloned().collect();
         for (host, entry) in roster.hosts.iter().filter(|(host, _)| &***host != me) {
@@ -233,9 +238,9 @@
         }
     }
 
-    /// Forgets hosts that are over, or were never heard of, and are no longer published.
+    /// Removes hosts that are no longer published and have either ended or never been heard from.
     ///
-    /// Returns whether any was forgotten.
+    /// Returns whether any was removed.
     pub fn forget(&mut self, now: Time) -> bool {
         let published = &self.published;
         let count = self.records.len();
--- a/crates/lentillift-fleet/src/packet.rs
+++ b/crates/lentillift-fleet/src/packet.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other in datagrams.
+//! Datagrams that processes exchange for probing and gossip.
 
 use crate::member::Member;
 use crate::value::Key;
@@ -9,35 +9,35 @@
 /// Number of a probe, unique within the process that sent it.
 pub type Sequence = u64;
 
-/// Room for news in one datagram, in bytes.
+/// Space for updates in one datagram, in bytes.
 ///
-/// With the head it stays under 1,200 bytes, which no network on the way has to split. A datagram
-/// that is split is lost with any of its parts.
+/// With the header a datagram stays below 1,200 bytes, which no network on its path has to
+/// fragment. A fragmented datagram is lost with any of its fragments.
 pub const UPDATES_BYTES: usize = 900;
 
-/// Summary of what a process holds; processes that hold the same have equal ones.
+/// Hashes of a process's state; equal for processes with the same state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Digest {
-    /// Of the values in force.
+    /// Hash of the stamps of the values in force.
     pub values: u64,
-    /// Of the hosts.
+    /// Hash of the records of all hosts, the sender included.
     pub members: u64,
 }
 
-/// A change worth passing on.
+/// A change that is spread by gossip.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Update {
-    /// An account of a host.
+    /// The record of a host has changed.
     Member(Member),
-    /// The sender holds a value with this mark.
+    /// The sender holds a value of this key with this stamp.
     Value(Key, Stamp),
 }
 
-/// Bytes that anything in the news takes at most beside its strings.
+/// Maximum encoded size of an update without its strings, in bytes.
 const FIXED_BYTES: usize = 64;
 
 impl Update {
-    /// Bytes on the wire, at most.
+    /// Upper bound of the encoded size, in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Member(member) => member.host.len() + member.domain.len() + FIXED_BYTES,
@@ -46,37 +46,37 @@
     }
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
-    /// The receiver should answer.
+    /// The receiver should answer with an ack of the same number.
     Ping(Sequence),
     /// Answer to a ping.
     Ack(Sequence),
     /// The receiver should ping a host on the sender's behalf.
     Probe {
-        /// The sender's number.
+        /// Number of the sender's probe.
         sequence: Sequence,
-        /// The host.
+        /// Host to ping.
         target: id::Host,
-        /// Where it is.
+        /// Address of that host.
         address: SocketAddr,
     },
     /// The host that the receiver asked the sender to ping has answered.
     Proof(Sequence),
-    /// It only carries news.
+    /// The datagram only carries updates.
     Push,
 }
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Packet {
-    /// The sender's account of itself.
+    /// The sender's record of itself.
     pub from: Member,
-    /// What the sender holds.
+    /// Digest of the sender's state, compared with the receiver's.
     pub digest: Digest,
-    /// What it is for.
+    /// What the receiver should do.
     pub body: Body,
-    /// News; together no larger than [`NEWS_BYTES`].
+    /// Updates; together no larger than [`UPDATES_BYTES`].
     pub updates: Vec<Update>,
 }
--- a/crates/lentillift-fleet/src/probe.rs
+++ b/crates/lentillift-fleet/src/probe.rs
@@ -1,9 +1,9 @@
-//! Finding out which hosts answer, in the manner of SWIM.
+//! Failure detection by probing, as in SWIM.
 //!
-//! Load pattern: hosts die, links lose packets, and the fleet grows. Each process asks one host per
-//! period, whatever the size of the fleet; a full mesh of heartbeats would cost 760 times as much. A
-//! host that does not answer is asked through others, so that one bad link condemns nobody, and is
-//! only suspected at first, so that it can contradict.
+//! Scenario: hosts die, links lose packets, and the fleet grows. Each process probes one host per
+//! period, whatever the size of the fleet; a full mesh of heartbeats would cost 760 times as much.
+//! A host that does not answer is probed through others, so that one bad link condemns nobody, and
+//! is only suspected at first, so that it can refute the suspicion.
 
 use crate::member::Member;
 use crate::member::Table;
@@ -20,26 +20,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Figures of probing.
+/// Parameters of probing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// Time between two probes of this process.
     pub period: Duration,
-    /// Time after which others are asked to probe; hundreds of round trips in one region.
+    /// Time without an answer after which others are asked to probe; hundreds of round trips in one
+    /// region.
     pub timeout: Duration,
-    /// Others that are asked to probe.
+    /// Number of hosts that are asked to probe.
     pub helpers: usize,
-    /// Time that a suspect has to contradict, in a fleet of one.
+    /// Time that a suspect has to refute the suspicion, in a fleet of one.
     pub suspicion: Duration,
-    /// What each doubling of the fleet adds to it, since news takes longer to come round.
+    /// Additional time per doubling of the fleet, since gossip takes longer to spread.
     pub suspicion_per_doubling: Duration,
-    /// One period in how many also probes a host of another region.
+    /// One period in this many also probes a host outside the regular round, such as one of another
+    /// region.
     pub abroad: u64,
-    /// One period in how many also probes a host that is held to be over.
+    /// One period in this many also probes a host that has ended.
     ///
-    /// Both sides of a partition hold the other for dead, and nobody else would bring them together.
+    /// Both sides of a partition consider the other dead, and nothing else would reconnect them.
     pub lost: u64,
-    /// Hosts that a starting process probes in one period.
+    /// Number of hosts that a starting process probes in one period.
     pub burst: usize,
 }
 
@@ -65,7 +67,7 @@
     target: Option<(id::Host, Version)>,
     address: SocketAddr,
     sent: Time,
-    /// Whether others were asked to probe.
+    /// Whether other hosts were asked to probe the target.
     asked: bool,
 }
 
@@ -77,56 +79,57 @@
     expires: Time,
 }
 
-/// Relays that are remembered at most; what comes beyond is not relayed.
+/// Maximum number of pending relays; requests beyond it are dropped.
 const MOST_RELAYS: usize = 1024;
 
-/// What to do next.
+/// Action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Ping an address.
     Ping(SocketAddr, Sequence),
-    /// Ask for a probe.
+    /// Ask another host to probe a target.
     Ask {
-        /// Whom to ask.
+        /// Address of the host that is asked.
         helper: SocketAddr,
-        /// The number of the probe.
+        /// Number of the probe.
         sequence: Sequence,
-        /// The host to be probed.
+        /// Host to be probed.
         target: id::Host,
-        /// Where it is.
+        /// Address of that host.
         address: SocketAddr,
     },
     /// A host failed to answer.
     Judge(id::Host, Version, Health),
 }
 
-/// What an answer means.
+/// Meaning of a received answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// A question of this process's own, sent at this time, is answered.
+    /// Answers a probe of this process that was sent at this time.
     Own(Time),
-    /// A question on behalf of another process is answered; it should be told.
+    /// Answers a probe on behalf of another process, which should be notified.
     Relayed(SocketAddr, Sequence),
-    /// Nobody waits for it any more.
+    /// No probe is waiting for this answer any more.
     Late,
 }
 
-/// The surroundings of a tick.
+/// Inputs of a tick.
 #[derive(Debug)]
 pub struct Around<'a, F> {
     /// All other hosts.
     pub table: &'a Table,
-    /// Whether a host is in this process's region.
+    /// Whether a host belongs to the regular round of probes: those of this process's region in the
+    /// core, those of its failure domain in [`crate::swim`].
     pub is_home: F,
-    /// Addresses to ask when no host is known.
+    /// Addresses to probe when no host is known.
     pub seeds: &'a [SocketAddr],
-    /// Whether this process is starting and wants to hear of many hosts soon.
+    /// Whether this process is starting and should learn of many hosts soon.
     pub starting: bool,
-    /// Whether this process reaches anybody; if not, its silence tells nothing of others.
+    /// Whether this process reaches anybody; if not, missing answers say nothing about other hosts.
     pub fresh: bool,
 }
 
-/// The probes of this process.
+/// Probes, relays and suspicions of this process.
 #[derive(Debug)]
 pub struct Prober {
     options: Options,
@@ -137,7 +140,7 @@
     round: Vec<id::Host>,
     pending: BTreeMap<Sequence, Pending>,
     relays: BTreeMap<Sequence, Relay>,
-    /// When each suspect is held for dead.
+    /// Version of each suspect, and when it is considered dead.
     suspects: BTreeMap<id::Host, (Version, Time)>,
 }
 
@@ -156,13 +159,14 @@
         }
     }
 
-    /// Forgets what it waits for, after a pause in which answers could not be heard.
+    /// Discards pending probes and suspicions, after a pause in which answers could not be
+    /// received.
     pub fn forget(&mut self) {
         self.pending.clear();
         self.suspects.clear();
     }
 
-    /// Says what to do now.
+    /// Returns the actions that are due.
     pub fn tick<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
@@ -199,7 +203,8 @@
         self.next
     }
 
-    /// Asks others about hosts that did not answer at once, and suspects those that did not at all.
+    /// Asks others to probe hosts that missed the timeout, and suspects those that did not answer
+    /// within the period.
     fn expire<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
@@ -232,7 +237,7 @@
         actions
     }
 
-    /// Holds suspects for dead that had time enough to contradict.
+    /// Reports suspects as dead that did not refute the suspicion in time.
     fn condemn<F>(&mut self, now: Time, around: &Around<'_, F>) -> Vec<Action> {
         if !around.fresh {
             self.suspects.clear();
@@ -257,7 +262,7 @@
         actions
     }
 
-    /// Whom to probe in this period.
+    /// Hosts and addresses to probe in this period; the host is none for a seed.
     fn targets<F, R>(
         &mut self,
         around: &Around<'_, F>,
@@ -295,9 +300,10 @@
         targets
     }
 
-    /// The next host of the own region in a random order that is drawn anew for each round.
+    /// The next host of the regular round, in a random order that is drawn again for each round.
     ///
-    /// With a draw for each period alone, a host would now and then go unasked for many periods.
+    /// With an independent draw for each period, a host would now and then stay unprobed for many
+    /// periods.
     fn next_in_round<'a, F, R>(&mut self, around: &Around<'a, F>, rng: &mut R) -> Option<&'a Member>
     where
         F: Fn(&Member) -> bool,
@@ -320,7 +326,7 @@
         }
     }
 
-    /// Pings a host on behalf of another; returns the number of the ping.
+    /// Registers a ping on behalf of another host; returns the number of the ping.
     pub fn relay(&mut self, now: Time, origin: SocketAddr, sequence: Sequence) -> Option<Sequence> {
         if self.relays.len() >= MOST_RELAYS {
             return None;
@@ -335,7 +341,7 @@
         Some(self.next)
     }
 
-    /// Takes in the answer of `from` to a ping.
+    /// Handles the answer of `from` to a ping.
     pub fn ack(&mut self, from: &id::Host, sequence: Sequence) -> Answer {
         if let Some(relay) = self.relays.remove(&sequence) {
             return Answer::Relayed(relay.origin, relay.sequence);
@@ -343,7 +349,7 @@
         let Some(pending) = self.pending.get(&sequence) else {
             return Answer::Late;
         };
-        // Another process may answer under the address of one that was replaced.
+        // Another process may answer at the address of one that was replaced.
         if pending
             .target
             .as_ref()
@@ -354,14 +360,14 @@
         self.settle(sequence)
     }
 
-    /// Takes in that a helper had an answer to a ping.
+    /// Handles a helper's report that a ping was answered.
     pub fn settle(&mut self, sequence: Sequence) -> Answer {
         let pending = self.pending.remove(&sequence);
         pending.map_or(Answer::Late, |pending| Answer::Own(pending.sent))
     }
 }
 
-/// Draws hosts that may be asked to probe `target`, from this process's region.
+/// Draws hosts to ask for a probe of `target`, among those of the regular round.
 fn helpers<F, R>(
     target: &id::Host,
     count: usize,
--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -1,8 +1,8 @@
-//! Membership of a fleet whose hosts nobody publishes.
+//! Membership for a fleet without a published list of hosts.
 //!
 //! Hosts find each other through a few seed addresses, which may be stale or down, and from then on
-//! through each other: one probe a period, in the manner of SWIM, with news carried along. A host
-//! that knows of no other serves alone. It shares its parts with [`crate::core`], which adds values,
+//! through each other: one probe per period, as in SWIM, with updates piggybacked. A host that
+//! knows of no other serves alone. The parts are shared with [`crate::core`], which adds values,
 //! leases and the published list of hosts.
 
 mod account;
@@ -33,27 +33,29 @@
 /// Time between two ticks.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// How long this process asks the seeds and many hosts at a time, so that it soon knows the fleet.
+/// How long a new process probes the seeds and many hosts at a time, so that it soon knows the
+/// fleet.
 const JOINING: Duration = Duration::from_secs(2);
 
-/// Time between two questions to the seeds once others are known.
+/// Period of probes to the seeds once others are known.
 ///
-/// Two parts of a fleet that started apart, each with its own seed, find each other only so.
+/// Two parts of a fleet that started apart, each with its own seed, find each other only through
+/// them.
 const SEED_PERIOD: Duration = Duration::from_secs(10);
 
-/// Hosts that are told of news at once.
+/// Number of hosts that new updates are pushed to at once.
 const PUSHES: usize = 2;
 
-/// What to do.
+/// Action for the caller to carry out.
 #[derive(Debug)]
 pub enum Effect {
     /// Send a datagram.
     Packet(SocketAddr, Packet),
-    /// The account of a host changed.
+    /// The record of a host changed.
     Changed(Member),
 }
 
-/// Membership as this process sees it.
+/// Membership state of this process.
 #[derive(Debug)]
 pub struct Swim<R> {
     rng: R,
@@ -61,17 +63,17 @@
     seeds: Vec<SocketAddr>,
     seeds_asked: Time,
     life: Option<Any>,
-    // INVARIANT: What `life` says of this process.
+    // INVARIANT: The record of this process in `life`.
     own: Member,
     table: Table,
     prober: Prober,
     queue: Queue,
-    /// Which hosts are in this process's region.
+    /// Region of each failure domain.
     home: BTreeMap<id::Domain, id::Region>,
     /// When a peer last answered.
     heard: Option<Time>,
     drift: Drift,
-    /// When a full account may be sent again.
+    /// Earliest time at which full state may be sent again.
     next_table: Time,
 }
 
@@ -79,7 +81,7 @@
 where
     R: Rng,
 {
-    /// Starts as `me`, whose version and incarnation must be new for its host.
+    /// Starts as `me`, whose version and incarnation must never have been used by its host.
     pub fn new(
         options: probe::Options,
         now: Time,
@@ -106,28 +108,28 @@
         }
     }
 
-    /// What this process says of itself.
+    /// The record that this process announces of itself.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// The other hosts.
+    /// Records of the other hosts.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Asks other seeds from now on.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Hosts that may be at work, this one included: all but those that said that they ended.
+    /// Hosts that may be at work, this one included: all but those that announced their end.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         let others = self.table.iter().filter(|m| m.stage != Stage::Gone);
         others.chain(std::iter::once(&self.own))
     }
 
-    /// Hosts that answer and have not begun to leave.
+    /// Hosts that answer probes and have not begun to leave.
     pub fn answering(&self) -> impl Iterator<Item = &Member> {
         let stays = |m: &&Member| matches!(m.stage, Stage::Starting | Stage::Serving);
         let alive = self.table.iter().filter(|m| m.health == Health::Alive);
@@ -139,23 +141,23 @@
         self.home.get(&member.domain) == self.home.get(&self.own.domain)
     }
 
-    /// Hosts that take work and answer.
+    /// Hosts that accept work and answer probes.
     pub fn serving(&self) -> impl Iterator<Item = &Member> {
         let serving = |m: &&Member| m.stage == Stage::Serving && m.health == Health::Alive;
         self.table.iter().filter(serving)
     }
 
-    /// Takes work from now on; tells others.
+    /// Accepts work from now on, and announces it.
     pub fn serve(&mut self) -> Vec<Effect> {
         self.advance(Any::serve)
     }
 
-    /// Takes nothing new from now on; tells others.
+    /// Accepts nothing new from now on, and announces it.
     pub fn leave(&mut self) -> Vec<Effect> {
         self.advance(Any::leave)
     }
 
-    /// Ends; tells others.
+    /// Ends, and announces it.
     pub fn end(&mut self) -> Vec<Effect> {
         self.advance(Any::end)
     }
@@ -171,7 +173,7 @@
         self.push()
     }
 
-    /// Tells some hosts at once, in place of with the next probe.
+    /// Sends updates to some hosts at once instead of with the next probe.
     fn push(&mut self) -> Vec<Effect> {
         use rand::seq::IteratorRandom;
         let usable = self.table.iter().filter(|m| !m.is_over());
@@ -183,7 +185,7 @@
             .collect()
     }
 
-    /// Time passed; due every [`TICK`].
+    /// Does what is due; called every [`TICK`].
     pub fn tick(&mut self, now: Time) -> Vec<Effect> {
         self.table.forget(now);
         let joining = now < self.started + JOINING;
@@ -195,8 +197,8 @@
         let fresh = self.heard.is_some_and(|heard| now < heard + JOINING);
         let around = Around {
             table: &self.table,
-            // Probes stay in the failure domain but for one in eight: bytes between failure domains
-            // are dear, and each domain's own hosts notice a dead one just as soon.
+            // Seven of eight probes stay in the failure domain: traffic between failure domains is
+            // expensive, and each domain's own hosts detect a dead one just as soon.
             is_home: |m: &Member| m.domain == *domain,
             seeds: &self.seeds,
             starting: joining || again,
@@ -205,7 +207,7 @@
         let actions = self.prober.tick(now, &around, &mut self.rng);
         let actions = actions.into_iter();
         let mut effects: Vec<Effect> = actions.flat_map(|action| self.act(now, action)).collect();
-        // News that waited for a probe would stay in the failure domain for seconds.
+        // Updates that wait for a probe would stay in the failure domain for seconds.
         if self.queue.has_new() {
             effects.extend(self.push());
         }
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     pub fn packet(&mut self, now: Time, packet: Packet) -> Vec<Effect> {
         let Packet {
             from,
@@ -308,8 +310,9 @@
         if !self.table.merge(now, news) {
             return Vec::new();
         }
-        // What a process that joins is told is news to nobody else. When all hosts of a fleet start
-        // at once, each would otherwise pass each other one on twenty times.
+        // Records that a joining process receives are known to the others already. When all hosts
+        // of a fleet start at once, each would otherwise forward the record of each other one
+        // twenty times.
         let joining = now < self.started + JOINING;
         if !joining || news.is_over() {
             let hosts = self.table.len();
--- a/crates/lentillift-fleet/src/swim/account.rs
+++ b/crates/lentillift-fleet/src/swim/account.rs
@@ -1,4 +1,4 @@
-//! Full accounts of all hosts, for those that join and those that missed news.
+//! Full state messages, for hosts that join and hosts that missed updates.
 
 use super::Effect;
 use super::Swim;
@@ -12,21 +12,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long pictures are expected to differ after a start, because hosts of the fleet start together.
+/// How long digests are expected to differ after a start, because hosts of the fleet start
+/// together.
 const SETTLING: Duration = Duration::from_secs(10);
 
-/// Time between two full accounts while they do, for each host that they name: some 60 bytes each, so
-/// that hosts that start at once know each other within seconds and send 200 KB a second at most.
+/// Time between two full state messages in that period, per host that they contain: about 60 bytes
+/// each, so that hosts that start at once know each other within seconds and send at most 200 KB a
+/// second.
 const TABLE_TIME: Duration = Duration::from_micros(300);
 
 impl<R> Swim<R>
 where
     R: Rng,
 {
-    /// Tells a host whose picture has differed from this one's for a while of all hosts.
+    /// Sends full state to a host whose digest has differed from this one's for a while.
     ///
-    /// News is passed on a few times only, and datagrams get lost; without this a host could miss
-    /// another for good.
+    /// Updates are forwarded only a few times, and datagrams get lost; without this a host could
+    /// miss another permanently.
     pub(super) fn compare(&mut self, now: Time, from: &Member, theirs: u64) -> Vec<Effect> {
         let same = theirs == self.digest();
         if now < self.started + SETTLING {
@@ -43,17 +45,18 @@
         }
     }
 
-    /// Equal for two processes that know the same of all hosts.
+    /// Digest of all hosts, this one included; equal for processes with the same records.
     pub(super) fn digest(&self) -> u64 {
         self.table.digest() ^ self.own.digest()
     }
 
-    /// Tells a host that has just turned up of all the others.
+    /// Datagrams with the records of all other hosts, for a host that has just appeared.
     ///
-    /// News alone would reach it only of hosts that change after it came.
+    /// Updates alone would inform it only of hosts that change after it joined.
     pub(super) fn introduce(&self, to: SocketAddr) -> Vec<Effect> {
         let known = self.table.iter().filter(|m| m.address != to);
-        // Those that are over too: whoever missed an end would wait for that host for good.
+        // Hosts that have ended are included: a process that missed an end would wait for that host
+        // permanently.
         let known = known.filter(|m| m.version > 0);
         let mut batches = vec![Vec::new()];
         let mut room = UPDATES_BYTES;
