--- a/crates/lentillift-fleet/src/boot.rs
+++ b/crates/lentillift-fleet/src/boot.rs
@@ -1,4 +1,4 @@
-//! What passes with time: probes, news, calls, and the start.
+//! Periodic work: probes, gossip, calls to the configuration service, and the start.
 
 use crate::core::Effect;
 use crate::core::Fleet;
@@ -19,34 +19,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between two looks for hosts that may be forgotten.
+/// Period at which ended hosts are removed.
 const SWEEP: Duration = Duration::from_secs(1);
 
-/// Peers whose word a starting process waits for, if that many answer.
+/// Number of peers whose full state a starting process waits for, if that many answer.
 ///
-/// One may itself have started just now; three that all lack the newest revision have hardly been
-/// reached by it yet.
+/// One peer may itself have started just now; if three all lack the newest revision, it has hardly
+/// begun to spread.
 const PEERS: usize = 3;
 
-/// Random hosts that are sent fresh news at once.
+/// Number of random hosts that new updates are pushed to at once.
 ///
-/// News that three pass on to three each reaches 760 hosts in six steps, and misses one in twenty;
-/// those get it with the probes.
+/// Updates that are forwarded to three hosts each reach 760 hosts in six steps, and miss one in
+/// twenty; those receive them with probes.
 const FANOUT: usize = 3;
 
-/// One push in how many also goes to another region.
+/// One push in this many also goes to another region.
 const ABROAD: u32 = 8;
 
 /// Time without an answer from any peer after which a process reads the service itself.
 const LONELY: Duration = Duration::from_millis(1500);
 
-/// Time that a starting process gives its peers to answer its probes.
+/// Time for which a starting process waits for peers to answer its probes.
 const PEER_TIME: Duration = Duration::from_millis(1500);
 
-/// Time that a starting process gives the configuration service.
+/// Time for which a starting process waits for the configuration service.
 const SERVICE_TIME: Duration = Duration::from_secs(3);
 
-/// Time after which a starting process is content with the word of one peer.
+/// Time after which the full state of one peer is enough for a starting process.
 const PATIENCE: Duration = Duration::from_secs(10);
 
 impl<R> Fleet<R>
@@ -57,8 +57,8 @@
     pub(crate) fn tick(&mut self, now: Time) -> Vec<Effect> {
         let mut effects = Vec::new();
         if let Some(gap) = self.freshness.tick(now) {
-            // Answers came while nobody listened. To hold every host for dead that seems not to
-            // have answered would make this process take over the whole fleet's work.
+            // Answers arrived while the process was paused. If it considered every host dead that
+            // seems not to have answered, it would take over the whole fleet's work.
             self.prober.forget();
             let detail = format!("for {} ms", gap.as_millis());
             effects.push(note("paused", &self.own.host, detail));
@@ -86,7 +86,7 @@
         effects
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send callers here.
     fn is_ready(&self, now: Time) -> bool {
         let serving = self.own.stage == Stage::Serving;
         serving && now < self.freshness.until() && !self.is_out(&self.own)
@@ -156,7 +156,7 @@
         self.make(Body::Ping(sequence), target.as_ref())
     }
 
-    /// Sends news to some random hosts at once.
+    /// Sends updates to some random hosts at once.
     pub(crate) fn push(&mut self) -> Vec<Effect> {
         let home = self.region(&self.own.domain);
         let usable = |m: &&Member| !m.is_over() && m.version > 0;
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Whether this starting process should ask a peer for all it knows; notes that it did.
+    /// Whether this starting process should request a peer's full state; records that it did.
     pub(crate) fn asks_at_start(&mut self, now: Time, peer: &id::Host) -> bool {
         self.asked.retain(|_, asked| *asked + PEER_TIME > now);
         let known = self.told.contains(peer) || self.asked.contains_key(peer);
@@ -207,10 +207,11 @@
         true
     }
 
-    /// Whether this starting process knows all it must know before it serves.
+    /// Whether this starting process has all the state that it needs before it serves.
     ///
-    /// The service may be down, stale, or serve old revisions to this process alone, and so may any
-    /// one peer be behind. Without asking both, a restart would bring an old revision back here.
+    /// The service may be down or stale, or serve old revisions to this process alone, and any one
+    /// peer may be behind as well. Without asking both, a restart would bring an old revision back
+    /// here.
     fn is_prepared(&self, now: Time) -> bool {
         let age = now.saturating_sub(self.started);
         let read = self.reader.is_done() || self.reader.failures() > 1 || age >= SERVICE_TIME;
@@ -222,7 +223,7 @@
         let peers = self.table.iter().filter(|m| m.version > 0 && !m.is_over());
         let peers = peers.count();
         if peers == 0 {
-            // The others on the list may all be gone, or all be starting just now.
+            // The other published hosts may all have ended, or all be starting just now.
             return age >= PEER_TIME || self.table.is_empty();
         }
         let enough = match age >= PATIENCE {
--- a/crates/lentillift-fleet/src/core.rs
+++ b/crates/lentillift-fleet/src/core.rs
@@ -1,4 +1,5 @@
-//! One process's part in the fleet: who is alive, which values are in force, and what to act on.
+//! State machine of one process in the fleet: membership, the values in force, and the view to act
+//! on.
 
 use crate::census::Census;
 use crate::drift;
@@ -40,29 +41,30 @@
 /// Time between two ticks.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// Figures of a process's part in the fleet.
+/// Parameters of a process in the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
-    /// Figures of freshness.
+    /// Parameters of the freshness deadline.
     pub freshness: freshness::Options,
-    /// Figures of probing.
+    /// Parameters of probing.
     pub probe: probe::Options,
-    /// Figures of reading the configuration service.
+    /// Parameters of reading the configuration service.
     pub read: read::Options,
     /// Wall-clock time at the epoch of the process's clock, since 1970.
     ///
-    /// Only turns in watching the service rest on it; a wrong clock costs some more calls.
+    /// Only the slots for watching the service depend on it; a wrong clock costs a few more calls.
     pub wall: Duration,
-    /// Node addresses of some other processes.
+    /// Node addresses of some other processes, contacted during the start and when no host is
+    /// known.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What happens to a process as a part of the fleet.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Event {
     /// Time passed; due every [`TICK`].
     Tick,
-    /// A datagram came.
+    /// A datagram arrived.
     Packet(Packet),
     /// A peer sent a message over its link.
     Message(id::Host, sync::Message),
@@ -70,13 +72,13 @@
     Index(Option<Index>),
     /// The configuration service answered with a value, or the call failed.
     Value(Key, Option<Vec<u8>>),
-    /// The process takes nothing new from now on.
+    /// The process accepts nothing new from now on.
     Leave,
     /// The process ends.
     End,
 }
 
-/// What a process wants done as a part of the fleet.
+/// Action for the caller to carry out.
 #[derive(Debug)]
 pub enum Effect {
     /// Act on this view from now on.
@@ -85,35 +87,35 @@
     Packet(SocketAddr, Packet),
     /// Send a message over the link to a peer.
     Message(id::Host, sync::Message),
-    /// Give up the link to a process that is over.
+    /// Close the link to a process that has ended.
     Lost(id::Host, id::Incarnation),
     /// Call the configuration service.
     Call(read::Call),
-    /// Tell the balancer whether to send callers here.
+    /// Tell the load balancer whether to send callers here.
     Ready(bool),
-    /// Put a change of state on the time line.
+    /// Record a change of state on the time line.
     Note {
-        /// What kind of change it is.
+        /// Kind of change.
         kind: &'static str,
-        /// What it is about.
+        /// Object that changed: a host, a key or the index.
         subject: String,
-        /// What changed.
+        /// New state of the object, in words.
         detail: String,
-        /// The value and its revision, if one was put in force.
+        /// Key and revision, if a value was put in force.
         token: Option<String>,
-        /// The peer that the value came from, if not from the configuration service.
+        /// Peer that the value came from; none for the configuration service.
         from: Option<id::Host>,
     },
 }
 
-/// One process's part in the fleet.
+/// State of one process in the fleet.
 #[derive(Debug)]
 pub struct Fleet<R> {
     pub(crate) options: Options,
     pub(crate) rng: R,
     pub(crate) started: Time,
     life: Option<Any>,
-    // INVARIANT: What `life` says of this process.
+    // INVARIANT: The record of this process in `life`.
     pub(crate) own: Member,
     pub(crate) table: Table,
     pub(crate) store: Store,
@@ -124,17 +126,17 @@
     pub(crate) fetch: Fetch,
     pub(crate) picture: Picture,
     pub(crate) census: Census,
-    /// When it was last looked for hosts that may be forgotten.
+    /// When ended hosts were last removed.
     pub(crate) swept: Time,
-    /// Values that a peer holds for valid and this process does not.
+    /// Stamps of values from peers that failed this process's checks.
     pub(crate) refused: BTreeMap<Key, Stamp>,
     value_drift: Drift,
     member_drift: Drift,
     /// When a peer last answered.
     pub(crate) heard: Option<Time>,
-    /// Peers that were asked for all they know during the start, and when.
+    /// Peers that were asked for their full state during the start, with the time of the request.
     pub(crate) asked: BTreeMap<id::Host, Time>,
-    /// Peers that have told all they know.
+    /// Peers that have sent their full state.
     pub(crate) told: BTreeSet<id::Host>,
 }
 
@@ -142,7 +144,7 @@
 where
     R: Rng,
 {
-    /// Starts as `me`, whose version and incarnation must be new for its host.
+    /// Starts as `me`, whose version and incarnation must never have been used by its host.
     pub fn new(options: Options, now: Time, me: Member, rng: R) -> Self {
         let life = Any::Starting(Life::start(me));
         let own = life.member().clone();
@@ -171,12 +173,12 @@
         }
     }
 
-    /// What this process says of itself.
+    /// The record that this process announces of itself.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// The other hosts.
+    /// Records of the other hosts.
     pub fn table(&self) -> &Table {
         &self.table
     }
@@ -191,7 +193,7 @@
         self.picture.view()
     }
 
-    /// Takes in an event and says what to do about it.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = match event {
             Event::Tick => self.tick(now),
@@ -208,14 +210,14 @@
         effects
     }
 
-    /// Takes a step of life after which no callers may be sent here.
+    /// Moves to a later stage in which no callers may be sent here.
     fn retire(&mut self, step: fn(Any) -> Any) -> Vec<Effect> {
         let mut effects = self.advance(step);
         effects.push(Effect::Ready(false));
         effects
     }
 
-    /// Takes a step of life and tells some peers at once.
+    /// Moves to a later stage and announces it to some peers at once.
     pub(crate) fn advance(&mut self, step: fn(Any) -> Any) -> Vec<Effect> {
         let Some(life) = self.life.take().map(step) else {
             return Vec::new();
@@ -303,7 +305,8 @@
         }
     }
 
-    /// Makes a datagram with news; `to` is told what is held against it, so that it can contradict.
+    /// Builds a datagram with updates. `to` is sent any record by which it is suspect, dead or
+    /// gone, so that it can refute it.
     pub(crate) fn make(&mut self, body: Body, to: Option<&id::Host>) -> Packet {
         let against = to.and_then(|to| self.table.against(to));
         let news = self.queue.take_with(against);
@@ -323,7 +326,7 @@
         self.table.digest() ^ self.own.digest()
     }
 
-    /// Takes in an account of a host.
+    /// Merges a received record of a host.
     pub(crate) fn learn(&mut self, now: Time, news: &Member) -> Vec<Effect> {
         if news.host == self.own.host {
             self.refute(news);
@@ -334,7 +337,7 @@
             return Vec::new();
         }
         self.picture.touch_hosts();
-        // What a starting process is told is news to nobody else.
+        // Records that a starting process receives are known to the others already.
         if self.own.stage != Stage::Starting || news.stage == Stage::Starting {
             let hosts = self.table.len();
             self.queue.push(Update::Member(news.clone()), hosts);
@@ -367,7 +370,7 @@
         }
     }
 
-    /// Asks a peer for all it knows if it holds what this process has not heard of for long.
+    /// Requests a peer's full state if the digests have differed for long, or as part of the start.
     fn compare(&mut self, now: Time, from: &Member, digest: Digest) -> Vec<Effect> {
         let values = digest.values == self.store.digest();
         let members = digest.members == self.member_digest();
--- a/crates/lentillift-fleet/src/exchange.rs
+++ b/crates/lentillift-fleet/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a process does about values, and about all that a peer tells at once.
+//! Exchanges values and full state with peers and the configuration service.
 
 use crate::core::Effect;
 use crate::core::Fleet;
@@ -54,10 +54,10 @@
         }
     }
 
-    /// All that this process knows.
+    /// Full state of this process.
     ///
-    /// Hosts that are over and no longer published are left out: processes would remind each other
-    /// of them for ever.
+    /// Hosts that have ended and are no longer published are left out: processes would remind each
+    /// other of them for ever.
     fn tell(&self) -> sync::Message {
         let known = self.table.iter().filter(|member| {
             let past = member.is_over() && !self.table.is_published(&member.host);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Asks peers for values that are wanted.
+    /// Requests wanted values from peers.
     pub(crate) fn pull(&mut self, now: Time) -> Vec<Effect> {
         let letters = self.fetch.tick(now).into_iter();
         letters
@@ -133,7 +133,7 @@
         effects
     }
 
-    /// Follows up on a value that was offered.
+    /// Applies the consequences of offering a value to the store.
     fn offered(
         &mut self,
         now: Time,
--- a/crates/lentillift-fleet/src/freshness.rs
+++ b/crates/lentillift-fleet/src/freshness.rs
@@ -1,23 +1,24 @@
-//! Until when this process may act on what it knows.
+//! Deadline until which this process may act on its state.
 //!
-//! Load pattern: a process is stopped, or its host is starved, for seconds, and wakes up with old
-//! work at hand; or it is cut off while callers still reach it. Without this it would go on sending
-//! work to a failure domain that was taken out meanwhile, or to a backend server that another
-//! process has been given.
+//! Scenario: a process is stopped, or its host is starved, for seconds, and resumes with old work
+//! at hand; or it is isolated while callers still reach it. Without the deadline it would go on
+//! sending work to a failure domain that was taken out of service meanwhile, or to a backend server
+//! that another process now holds.
 
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Figures of freshness.
+/// Parameters of the freshness deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
     /// Longest time between two ticks that does not count as a pause.
     ///
-    /// Ten ticks' time: a busy host delays a tick by tens of milliseconds, rarely by more.
+    /// Ten tick periods: a busy host delays a tick by tens of milliseconds, rarely by more.
     pub pause: Duration,
-    /// Longest time without a proof that anybody is reached.
+    /// Longest time without proof that any peer or the service can be reached.
     ///
-    /// Six probe periods: with one packet in ten lost, six failing in a row is one in millions.
+    /// Six probe periods: with one packet in ten lost, six failures in a row happen once in
+    /// millions of cases.
     pub cut: Duration,
 }
 
@@ -30,14 +31,14 @@
     }
 }
 
-/// Until when this process may act on what it knows.
+/// Deadline until which this process may act on its state.
 #[derive(Debug)]
 pub struct Freshness {
     options: Options,
     ticked: Time,
-    /// When the latest question was sent that was answered.
+    /// When the latest request that was answered had been sent.
     proof: Option<Time>,
-    /// Questions from before this time prove nothing.
+    /// Answers to requests sent before this time prove nothing.
     // INVARIANT: The end of the latest pause.
     awake: Time,
 }
@@ -53,36 +54,36 @@
         }
     }
 
-    /// Notes that time passes; returns how long the process was paused, if it was.
+    /// Records that time has passed; returns how long the process was paused, if it was.
     pub fn tick(&mut self, now: Time) -> Option<Duration> {
         let gap = now.saturating_sub(self.ticked);
         self.ticked = now;
         if gap < self.options.pause {
             return None;
         }
-        // An answer that waited in a socket through the pause tells nothing of the present. Only a
-        // question that is sent from now on can prove that somebody is reached.
+        // An answer that waited in a socket during the pause says nothing about the present. Only a
+        // request that is sent from now on can prove that somebody can be reached.
         self.awake = now;
         self.proof = None;
         Some(gap)
     }
 
-    /// Notes that a question which was sent at `sent` has been answered.
+    /// Records that a request sent at `sent` has been answered.
     pub fn prove(&mut self, sent: Time) {
         if sent >= self.awake {
             self.proof = self.proof.max(Some(sent));
         }
     }
 
-    /// Time since the latest question that was answered.
+    /// Time since the latest answered request was sent.
     pub fn age(&self, now: Time) -> Duration {
         now.saturating_sub(self.proof.unwrap_or(self.awake))
     }
 
-    /// Until when this process may act on what it knows, unless that is renewed.
+    /// Deadline until which this process may act on its state, unless it is renewed.
     ///
-    /// Not later than a pause from the last tick: whoever looks at a clock after a pause, before
-    /// this could tell it anything, finds the time over.
+    /// It is at most one allowed tick gap after the last tick: code that reads the clock right
+    /// after a pause, before any tick could detect the pause, finds the deadline passed.
     pub fn until(&self) -> Time {
         match self.proof {
             Some(proof) => (proof + self.options.cut).min(self.ticked + self.options.pause),
--- a/crates/lentillift-fleet/src/lib.rs
+++ b/crates/lentillift-fleet/src/lib.rs
@@ -1,7 +1,9 @@
-//! The fleet as one process sees it: values in force, who is alive, who owns which backend server.
+//! Fleet state of one process: published values in force, membership, and ownership of backend
+//! servers.
 //!
-//! [`core`] is the whole of a process's part; the other modules are its decisions. Nothing here opens
-//! a socket, reads a clock or draws a random number of its own.
+//! [`core`] combines most of the other modules into one state machine. The crate opens no socket,
+//! reads no clock and seeds no random number generator: the caller passes in events, the time and
+//! the generator.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-fleet/src/read.rs
+++ b/crates/lentillift-fleet/src/read.rs
@@ -1,10 +1,10 @@
-//! When this process reads the configuration service, and what.
+//! Schedules this process's reads from the configuration service.
 //!
-//! Load pattern: a fleet that grows, starts at once, or is cut into pieces, before a service that
-//! bears 2,000 calls a second from all readers together. A few hosts of each failure domain watch it
-//! in turns, and peers carry on what they read. Everybody else asks it seldom, and less often the
-//! larger the fleet, against watchers that are served an old revision; and those that hear no peer
-//! ask once a second.
+//! Scenario: a fleet grows, starts all at once or is partitioned, in front of a service that
+//! accepts 2,000 calls per second from all readers together. A few hosts of each failure domain
+//! watch it in turns, and gossip spreads what they read. All other hosts poll it rarely, and less
+//! often the larger the fleet, in case the watchers are served an old revision. Hosts that hear
+//! from no peer poll it once a second.
 
 use crate::rendezvous;
 use crate::value;
@@ -18,38 +18,39 @@
 /// The keys that the configuration service holds, with the version of each.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Index {
-    /// Version of the whole; it changes with every key.
+    /// Version of the index as a whole; it changes with every key.
     pub version: u64,
     /// Version of each key.
     pub keys: BTreeMap<Key, u64>,
 }
 
-/// Figures of reading.
+/// Parameters of reading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// How long a host watches before others take turns.
+    /// How long a host watches before others take over.
     ///
-    /// Long enough that a new watcher's reading of all keys costs little, short enough that one
-    /// that is served an old revision does not stay for long.
+    /// Long enough that a new watcher's read of all keys costs little, short enough that a watcher
+    /// that is served an old revision is soon replaced.
     pub slot: Duration,
-    /// Hosts of one failure domain that watch at a time; two, since one may be cut off.
+    /// Concurrent watchers per failure domain; two, because one may be isolated.
     pub watchers: usize,
-    /// How long one watch waits for a change.
+    /// Longest time that one watch waits for a change.
     ///
-    /// Short of the time after which a process that reaches nobody holds itself for cut off, so that
-    /// a watch under way never stands in for a proof that is due.
+    /// Shorter than the time after which a process that reaches nobody considers itself isolated,
+    /// so that a pending watch never takes the place of a proof that is due.
     pub wait: Duration,
-    /// Time between two calls of a host that does not watch, in a small fleet.
+    /// Poll period of a host that does not watch, in a small fleet.
     pub slow: Duration,
-    /// The same for each host of the fleet, if that is more; ten calls a second from all together.
+    /// Poll period per host of the fleet, used if the product is longer; all hosts together make
+    /// ten calls a second.
     pub slow_per_host: Duration,
-    /// Time between two calls of a host that is starting or hears no peer.
+    /// Poll period of a host that is starting or hears from no peer.
     pub alone: Duration,
-    /// Least time between two calls for the index.
+    /// Minimum time between two calls for the index.
     pub gap: Duration,
-    /// Pause after a failed call, so that a service in trouble is not called without end.
+    /// Pause after a failed call, so that a failing service is not called continuously.
     pub pause: Duration,
-    /// Values that are read at a time.
+    /// Maximum number of values that are read concurrently.
     pub reads: usize,
 }
 
@@ -69,37 +70,37 @@
     }
 }
 
-/// The part this process takes in reading.
+/// Role of this process in reading the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It is starting, or hears no peer.
+    /// It is starting, or hears from no peer.
     Alone,
-    /// It is its turn to watch.
+    /// It watches the service.
     Watcher,
-    /// Others watch.
+    /// Other hosts watch the service.
     Other,
 }
 
-/// A call to make.
+/// A call to make to the service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Ask for the index once it is newer than `since`, at most for `wait`.
+    /// Request the index as soon as it is newer than `since`, waiting for at most `wait`.
     Index {
-        /// The version that is known.
+        /// Version that is known already.
         since: u64,
-        /// The longest wait.
+        /// Longest time that the service may wait before it answers.
         wait: Duration,
     },
     /// Read the value of a key.
     Value(Key),
 }
 
-/// Number of the turn of watching at a wall-clock time.
+/// Number of the watch slot at a wall-clock time.
 pub fn slot(options: &Options, wall: Duration) -> u64 {
     wall.as_secs() / options.slot.as_secs().max(1)
 }
 
-/// Whether it is the turn of `me` to watch, in turn `slot`, among the `hosts` of its failure domain.
+/// Whether `me` watches in slot `slot`, given the `hosts` of its failure domain.
 pub fn is_watcher<'a, I>(options: &Options, slot: u64, me: &id::Host, hosts: I) -> bool
 where
     I: IntoIterator<Item = &'a id::Host>,
@@ -113,27 +114,27 @@
     before.count() < options.watchers
 }
 
-/// What this process has read from the service, and what is under way.
+/// What this process has read from the service, and its calls in flight.
 #[derive(Debug)]
 pub struct Reader {
     options: Options,
     role: Role,
     /// Highest version of the index that was read.
     since: u64,
-    /// Version of each key when it was last read, or found to be held already.
+    /// Version of each key when it was last read, or found to be in force already.
     seen: BTreeMap<Key, u64>,
     /// Keys still to be read, with their versions.
     wanted: BTreeMap<Key, u64>,
     reading: BTreeSet<Key>,
-    /// When the call for the index was made, while it is under way.
+    /// When the call for the index was made, while it is in flight.
     asked: Option<Time>,
     /// When the latest call for the index was answered or failed.
     last: Option<Time>,
-    /// Nothing is called before this time.
+    /// No calls are made before this time.
     paused: Time,
-    /// Whether all that an index named has been read.
+    /// Whether all keys that an index listed have been read.
     done: bool,
-    /// Calls for the index that failed in a row.
+    /// Consecutive failed calls for the index.
     failures: u32,
 }
 
@@ -155,21 +156,21 @@
         }
     }
 
-    /// Whether everything the service named was read at least once.
+    /// Whether every key that the service listed has been read at least once.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls for the index.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Says which calls to make now, in a fleet of `hosts`.
+    /// Returns the calls to make now, in a fleet of `hosts`.
     pub fn tick(&mut self, now: Time, role: Role, hosts: usize) -> Vec<Call> {
         if role == Role::Watcher && self.role != role {
-            // What peers say of versions is not taken for granted by a watcher: it reads everything
-            // once, which also finds a service whose versions were set back.
+            // A new watcher does not rely on versions reported by peers: it reads every key once,
+            // which also detects a service whose versions were reset.
             self.seen.clear();
             self.since = 0;
         }
@@ -218,8 +219,8 @@
         next.into_iter().map(Call::Value).collect()
     }
 
-    /// Takes in the index, or that the call for it failed; `held` gives the service's version of a
-    /// key's value that is in force here, if a peer told it.
+    /// Handles the index, or the failure of the call for it. `held` returns the service's version
+    /// of a key's value that is in force here, if a peer reported it.
     ///
     /// Returns when the call was made, if it was answered.
     pub fn index<F>(&mut self, now: Time, index: Option<Index>, held: F) -> Option<Time>
@@ -248,9 +249,9 @@
         asked
     }
 
-    /// Takes in that a value was read, or that the call for it failed; returns its version.
+    /// Handles the result of reading a value; returns the value's version.
     ///
-    /// A key that fails stays wanted and keeps no other from being read.
+    /// A key whose read fails stays wanted and does not keep others from being read.
     pub fn value(&mut self, now: Time, key: &Key, read: bool) -> u64 {
         self.reading.remove(key);
         if !read {
--- a/crates/lentillift-fleet/src/sync.rs
+++ b/crates/lentillift-fleet/src/sync.rs
@@ -1,9 +1,9 @@
-//! Fetching from peers what news only names: values, and all that a peer knows.
+//! Fetches from peers what gossip only announces: the bodies of values, and full state.
 //!
-//! Load pattern: a value of a megabyte changes and hundreds of processes want it at once, or a
-//! process starts and wants everything. A process asks for one chunk at a time of a few values, so
-//! that what a peer must send at once is bounded, and the bodies spread as a tree: whoever has a
-//! value tells of it and serves it.
+//! Scenario: a value of a megabyte changes and hundreds of processes want it at once, or a process
+//! starts and wants everything. A process requests a few values at a time, each chunk by chunk, so
+//! that the amount that a peer must send at once is bounded. The bodies spread as a tree: each
+//! process that has a value announces and serves it.
 
 use crate::member::Member;
 use crate::value::Key;
@@ -15,98 +15,98 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of a value in one message.
+/// Maximum bytes of a value in one message.
 ///
-/// At a gigabit it holds up the messages behind it for half a millisecond.
+/// At a gigabit per second a chunk delays the messages behind it by half a millisecond.
 pub const CHUNK: usize = 64 * 1024;
 
-/// Values that are fetched at a time.
+/// Maximum number of values that are fetched concurrently.
 const MOST: usize = 8;
 
-/// Peers that are remembered as holders of a value.
+/// Maximum number of peers remembered as holders of a value.
 const HOLDERS: usize = 4;
 
 /// Time after which a peer that sends no chunk is given up.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What processes tell each other over their links about values and hosts.
+/// Messages between processes, over their links, about values and hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// The receiver should tell all it knows.
+    /// The receiver should send its full state.
     Ask,
-    /// All that the sender knows.
+    /// Full state of the sender.
     Told {
-        /// The hosts, the sender included.
+        /// Records of the hosts, the sender included.
         members: Vec<Member>,
-        /// The keys of the values in force, with their marks.
+        /// Keys and stamps of the values in force.
         stamps: Vec<(Key, Stamp)>,
     },
     /// The receiver should send a chunk of a value.
     Pull {
-        /// The key.
+        /// Key of the value.
         key: Key,
-        /// The mark of the value that is wanted.
+        /// Stamp of the value that is wanted.
         stamp: Stamp,
-        /// Where the chunk starts.
+        /// Offset of the chunk, in bytes.
         offset: u32,
     },
     /// A chunk of a value.
     Chunk {
-        /// The key.
+        /// Key of the value.
         key: Key,
-        /// The mark of the value.
+        /// Stamp of the value.
         stamp: Stamp,
-        /// The configuration service's version number of it.
+        /// The configuration service's version number of the value.
         version: u64,
-        /// Where the chunk starts.
+        /// Offset of the chunk, in bytes.
         offset: u32,
-        /// Bytes of the whole value.
+        /// Length of the whole value, in bytes.
         total: u32,
-        /// The chunk.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
 }
 
-/// A message to a peer.
+/// A message and the peer that it is sent to.
 pub type Letter = (id::Host, Message);
 
-/// A value that is wanted.
+/// State of fetching one value.
 #[derive(Debug)]
 struct Want {
     mark: Stamp,
-    /// Peers that said they hold it; the last one is asked.
+    /// Peers that announced the value; the last one is asked.
     holders: Vec<id::Host>,
     body: Vec<u8>,
-    /// When the peer that was asked is given up; nobody was asked if there is none.
+    /// When the peer that was asked is given up; none while nobody is asked.
     deadline: Option<Time>,
 }
 
-/// A value that arrived as a whole.
+/// A value that was fetched completely.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its key.
+    /// Key of the value.
     pub key: Key,
-    /// The mark its sender gave it.
+    /// Stamp that the sender gave for the value.
     pub mark: Stamp,
-    /// The configuration service's version number of it.
+    /// The configuration service's version number of the value.
     pub version: u64,
-    /// The value.
+    /// Bytes of the value.
     pub body: Vec<u8>,
 }
 
-/// The values that this process fetches from peers.
+/// Values that this process fetches from peers.
 #[derive(Debug, Default)]
 pub struct Fetch {
     wants: BTreeMap<Key, Want>,
 }
 
 impl Fetch {
-    /// Whether everything that was wanted has arrived or was given up.
+    /// Whether every wanted value has arrived or was given up.
     pub fn is_idle(&self) -> bool {
         self.wants.is_empty()
     }
 
-    /// Notes that `holder` holds a value that is higher than the one in force here.
+    /// Records that `holder` has a value with a higher stamp than the one in force here.
     pub fn want(&mut self, key: &Key, mark: Stamp, holder: &id::Host) {
         let want = self.wants.entry(key.clone()).or_insert_with(|| Want {
             mark,
@@ -123,19 +123,19 @@
             };
         }
         if mark == want.mark && want.holders.len() < HOLDERS && !want.holders.contains(holder) {
-            // The one that is asked stays last.
+            // The peer that is asked stays last.
             want.holders.insert(0, holder.clone());
         }
     }
 
-    /// Drops what is no longer wanted because it, or a higher one, is in force.
+    /// Stops fetching a value if it, or one with a higher stamp, is in force.
     pub fn settle(&mut self, key: &str, mark: Stamp) {
         if self.wants.get(key).is_some_and(|want| want.mark <= mark) {
             self.wants.remove(key);
         }
     }
 
-    /// Asks for what is wanted, and asks others where a peer does not send.
+    /// Requests wanted values, and moves on to another peer where one does not send.
     pub fn tick(&mut self, now: Time) -> Vec<Letter> {
         for want in self.wants.values_mut() {
             if want.deadline.is_some_and(|deadline| deadline <= now) {
@@ -144,7 +144,7 @@
                 want.deadline = None;
             }
         }
-        // Without a holder left, the next digest that differs starts anew.
+        // Without any holder left, the next differing digest starts the fetch again.
         self.wants.retain(|_, want| !want.holders.is_empty());
         let asked = self.wants.values().filter(|want| want.deadline.is_some());
         let room = MOST.saturating_sub(asked.count());
@@ -156,7 +156,7 @@
         letters.collect()
     }
 
-    /// Takes in a chunk; returns the value once it is whole.
+    /// Handles a chunk; returns the value once it is complete, or the request for the next chunk.
     pub fn chunk(
         &mut self,
         now: Time,
@@ -177,7 +177,8 @@
         let Some(want) = self.wants.get_mut(&key) else {
             return (None, None);
         };
-        // The holder may have a higher one by now, which is as good from its start on.
+        // The holder may have a value with a higher stamp by now, which is as good if it is sent
+        // from its start.
         if offset == 0 && mark > want.mark {
             want.mark = mark;
             want.body.clear();
@@ -217,9 +218,9 @@
     Some((holder, message))
 }
 
-/// The chunk of the value in force that a peer asked for.
+/// The chunk that a peer requested, of the value in force.
 ///
-/// A value that replaced the one asked for is sent from its start.
+/// A value that has replaced the requested one is sent from its start.
 pub fn serve(store: &Store, key: &Key, mark: Stamp, offset: u32) -> Option<Message> {
     let value = store.get(key)?;
     if value.mark < mark {
--- a/crates/lentillift-fleet/src/value.rs
+++ b/crates/lentillift-fleet/src/value.rs
@@ -1,6 +1,7 @@
-//! The published values that are in force at this process.
+//! Published values in force at this process.
 //!
-//! Of each key the highest valid revision that was ever seen stays in force, from whomever it came.
+//! For each key the highest valid revision ever seen stays in force, whichever process or service
+//! it came from.
 
 use crate::view::Values;
 use lentillift_core::error::Error;
@@ -17,10 +18,10 @@
 use std::sync::Arc;
 use twox_hash::XxHash64;
 
-/// Name under which a value is published.
+/// Key under which a value is published: `config`, `hosts` or `service/NAME`.
 pub type Key = Arc<str>;
 
-/// Largest value, in bytes; the platform holds none that is larger.
+/// Largest value, in bytes; the platform stores no larger ones.
 pub const LIMIT: usize = 1024 * 1024;
 
 /// Longest key, in bytes.
@@ -29,63 +30,63 @@
 /// Prefix of the keys of placements.
 const SERVICE: &str = "service/";
 
-/// Which of two values of one key is in force: the one with the higher mark.
+/// Orders the values of one key: the one with the higher stamp is in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp {
-    /// The value's revision.
+    /// Revision that the value states.
     pub revision: id::Revision,
-    /// Hash of the value.
+    /// Hash of the value's bytes, which breaks ties.
     ///
-    /// Two operators may publish one revision with different contents. Without this, some processes
-    /// would keep the one and some the other for good.
+    /// Two operators may publish different contents under one revision. Without the hash, some
+    /// processes would keep one and some the other permanently.
     pub checksum: u64,
 }
 
 /// A value that is in force.
 #[derive(Debug, Clone)]
 pub struct Value {
-    /// Its mark.
+    /// Decides whether another value replaces this one.
     pub mark: Stamp,
-    /// The configuration service's version number of the key when it was read there.
+    /// The configuration service's version number of the key when the value was read there.
     pub version: u64,
-    /// The value as it was published.
+    /// Bytes of the value, as published.
     pub body: Arc<[u8]>,
 }
 
-/// A value after its checks.
+/// A value that was parsed and passed its checks.
 enum Checked {
     Config(Arc<Config>),
     Roster(Arc<Roster>),
     Placement(id::Service, Arc<Placement>),
 }
 
-/// What became of a value that was offered.
+/// Result of offering a value to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in force now.
+    /// The value is in force now and has this stamp.
     Taken(Stamp),
-    /// It is in force already, or a higher one is.
+    /// The value, or one with a higher stamp, was in force already.
     Old,
 }
 
 /// The published values that are in force at this process.
 #[derive(Debug, Default)]
 pub struct Store {
-    // INVARIANT: The mark under a key never falls.
+    // INVARIANT: The stamp under a key never decreases.
     held: BTreeMap<Key, Value>,
-    // INVARIANT: What `held` says, parsed and checked.
+    // INVARIANT: The values of `held`, parsed and checked.
     values: Values,
-    // INVARIANT: Exclusive or of the hashes of all keys with their marks.
+    // INVARIANT: XOR of the hashes of all keys with their stamps.
     digest: u64,
 }
 
-/// Whether `key` is one that the system reads.
+/// Whether `key` is one that the system reads; values under other keys are ignored.
 pub fn is_known(key: &str) -> bool {
     key.len() <= KEY_LIMIT && (key == "config" || key == "hosts" || key.starts_with(SERVICE))
 }
 
 impl Store {
-    /// The values that are in force.
+    /// The values in force, parsed.
     pub fn values(&self) -> &Values {
         &self.values
     }
@@ -95,32 +96,33 @@
         self.held.get(key)
     }
 
-    /// The mark of the value in force under `key`; the lowest if there is none.
+    /// Stamp of the value in force under `key`, or the lowest stamp if there is none.
     pub fn mark(&self, key: &str) -> Stamp {
         self.get(key)
             .map_or_else(Stamp::default, |value| value.mark)
     }
 
-    /// All keys with their marks.
+    /// All keys with the stamps of their values.
     pub fn marks(&self) -> impl Iterator<Item = (&Key, Stamp)> {
         self.held.iter().map(|(key, value)| (key, value.mark))
     }
 
-    /// Equal for two processes at which the same values are in force.
+    /// Order-independent hash of all keys and stamps; equal for processes with the same values in
+    /// force.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Whether there is all that a process must know before it serves.
+    /// Whether the configuration and the host list are in force; a process does not serve before.
     pub fn is_complete(&self) -> bool {
         self.values.config.is_some() && self.values.roster.is_some()
     }
 
-    /// Puts a value in force if it is valid and higher than the one that is.
+    /// Puts a value in force if it is valid and its stamp is higher than that of the current one.
     ///
     /// # Errors
     ///
-    /// When the value is not what belongs under its key. The one in force stays.
+    /// When the value is invalid for its key. The current value stays in force.
     pub fn offer(&mut self, key: &str, version: u64, body: &[u8]) -> Result<Offer> {
         let (revision, checked) = check(key, body)?;
         let sum = XxHash64::oneshot(0, body);
