--- a/crates/lentillift-fleet/src/guardian.rs
+++ b/crates/lentillift-fleet/src/guardian.rs
@@ -1,8 +1,8 @@
-//! Guardians: the few hosts whose majority says who may send work to a backend server.
+//! Guardians: the few hosts whose majority decides who may send work to a backend server.
 //!
-//! They follow from the backend server's name and one revision of the published host list alone,
-//! not from anyone's view of who is alive: two processes that read the same revision name the same
-//! guardians, whatever else they believe.
+//! They are computed only from the backend server's name and one revision of the published host
+//! list, not from anyone's view of who is alive. Two processes that use the same revision choose
+//! the same guardians, however much the rest of their state differs.
 
 use crate::rendezvous;
 use lentillift_core::id;
@@ -11,17 +11,18 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Guardians of one backend server at most.
+/// Maximum number of guardians of one backend server.
 ///
-/// Three outlive the loss of one; five would survive two at the price of two thirds more messages.
+/// Three tolerate the loss of one; five would tolerate two at the cost of two thirds more messages.
 pub const MOST: usize = 3;
 
-/// The guardians of `backend` in `domain`: the first hosts of different failure domains, by weight.
+/// Chooses the guardians of `backend` in `domain`: the hosts with the highest weights, of different
+/// failure domains.
 ///
-/// They are in the backend server's region, so that regions which lose each other both keep their
-/// majorities; without this half of all backend servers would have no holder on their own side.
-/// With fewer domains than [`MOST`], more hosts of the same domains fill the places, so that the
-/// loss of one host still leaves a majority.
+/// They are in the backend server's region, so that regions that lose contact with each other both
+/// keep their majorities; otherwise half of all backend servers would have no holder on their own
+/// side. With fewer domains than [`MOST`], further hosts of the same domains fill the places,
+/// so that the loss of one host still leaves a majority.
 pub fn choose(backend: &str, domain: &str, roster: &Roster) -> Vec<id::Host> {
     let region = roster.regions.get(domain);
     let live = roster.hosts.iter().filter(|(_, entry)| {
@@ -48,9 +49,9 @@
     chosen.into_iter().map(|(_, host)| host.clone()).collect()
 }
 
-/// Puts the guardian in the backend server's own failure domain in front, if there is one.
+/// Moves the guardian in the backend server's own failure domain to the front, if there is one.
 ///
-/// Only the order depends on the domain: a majority of the same set stays the same majority.
+/// Only the order depends on the domain; a majority of the same set stays the same majority.
 pub fn prefer(guardians: &mut [id::Host], roster: &Roster, domain: &id::Domain) {
     let near = |host: &id::Host| {
         let entry = roster.hosts.get(host);
@@ -59,7 +60,7 @@
     guardians.sort_by_key(|host| !near(host));
 }
 
-/// How many of `count` guardians are a majority.
+/// Size of a majority of `count` guardians.
 pub fn majority(count: usize) -> usize {
     count / 2 + 1
 }
--- a/crates/lentillift-fleet/src/picture.rs
+++ b/crates/lentillift-fleet/src/picture.rs
@@ -1,4 +1,4 @@
-//! Drawing the view from what is known.
+//! Derives the view from membership and the published values.
 
 use crate::core::Fleet;
 use crate::member::Member;
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a view that is otherwise the same is renewed.
+/// Period at which an otherwise unchanged view is renewed.
 ///
-/// Often enough that its deadline never comes near while all is well.
+/// Often enough that its deadline stays far away in normal operation.
 const RENEWAL: Duration = Duration::from_millis(250);
 
 /// The latest view and what has changed since.
@@ -31,12 +31,13 @@
         &self.view
     }
 
-    /// Notes that something about hosts has changed.
+    /// Marks the view as outdated after a change of a host.
     pub(crate) fn touch_hosts(&mut self) {
         self.hosts = true;
     }
 
-    /// Notes that a value has changed; that may take hosts in and out, too.
+    /// Marks the view as outdated after a change of a value, which may also put hosts in or out of
+    /// service.
     pub(crate) fn touch_values(&mut self) {
         self.hosts = true;
         self.values = true;
@@ -44,7 +45,7 @@
 }
 
 impl<R> Fleet<R> {
-    /// Draws the view anew, if something in it has changed or it must be renewed.
+    /// Rebuilds the view if something in it has changed or it must be renewed.
     pub(crate) fn draw(&mut self, now: Time) -> Option<Arc<View>> {
         let until = self.freshness.until();
         let old = &self.picture.view;
@@ -99,9 +100,9 @@
             .unwrap_or_default()
     }
 
-    /// Whether a host must not be given work, whatever it says itself.
+    /// Whether a host must not be given work, whatever stage it announces.
     ///
-    /// A host that only peers tell of may be given work if its failure domain is a configured one.
+    /// A host that is known only from peers may be given work if its failure domain is configured.
     pub(crate) fn is_out(&self, member: &Member) -> bool {
         let values = self.store.values();
         let out = values.config.as_ref().is_some_and(|config| {
--- a/crates/lentillift-fleet/src/rendezvous.rs
+++ b/crates/lentillift-fleet/src/rendezvous.rs
@@ -1,7 +1,7 @@
-//! Rendezvous hashing: which host a backend server falls to.
+//! Rendezvous hashing: assigns backend servers to hosts.
 //!
-//! Each process works this out alone. A change of one host among N moves about 1/N of the backend
-//! servers, and none but those that the host gains or loses.
+//! Each process computes the assignment by itself. A change of one host among N moves about 1/N of
+//! the backend servers: only those that the host gains or loses.
 
 use lentillift_core::id;
 use twox_hash::XxHash64;
@@ -14,13 +14,13 @@
     Key::new(key).weight(host)
 }
 
-/// A key whose hosts are weighed one after the other.
+/// Hash input for the weights of several hosts under one key.
 ///
-/// It keeps its buffer: to make one for each pair would take most of the time that a view of 4,600
-/// backend servers and 760 hosts takes to draw.
+/// The buffer is reused: allocating one for each pair would take most of the time that it takes to
+/// derive a view of 4,600 backend servers and 760 hosts.
 pub(crate) struct Key {
     bytes: Vec<u8>,
-    /// Bytes of the key and what parts it from the host.
+    /// Length of the key and the separator before the host, in bytes.
     length: usize,
 }
 
--- a/crates/lentillift-fleet/src/seen.rs
+++ b/crates/lentillift-fleet/src/seen.rs
@@ -1,4 +1,4 @@
-//! What a view was derived from, as it is written down.
+//! Serialised form of a view: the inputs from which it is derived.
 
 use crate::view::Values;
 use crate::view::View;
@@ -12,14 +12,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What a view was derived from.
+/// Inputs from which a view is derived.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Seen {
     config: Option<Arc<Config>>,
     roster: Option<Arc<Roster>>,
     placements: BTreeMap<id::Service, Arc<Placement>>,
     alive: Vec<id::Host>,
-    /// When it is too old to act on; never, where none is given.
+    /// Time from which the view is too old to act on; none if it never is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     fresh_until: Option<Time>,
 }
--- a/crates/lentillift-fleet/src/view.rs
+++ b/crates/lentillift-fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What one process holds to be true of the fleet at a point in time.
+//! Immutable snapshot of the fleet as one process knows it.
 
 use crate::guardian;
 use crate::rendezvous;
@@ -21,11 +21,11 @@
 /// The values in force at this process.
 #[derive(Debug, Clone, Default)]
 pub struct Values {
-    /// The configuration, once one has been accepted.
+    /// The configuration, once one is in force.
     pub config: Option<Arc<Config>>,
-    /// The list of hosts, once one has been accepted.
+    /// The list of hosts, once one is in force.
     pub roster: Option<Arc<Roster>>,
-    /// The placements of services.
+    /// Placements of the services.
     pub placements: BTreeMap<id::Service, Arc<Placement>>,
 }
 
@@ -34,33 +34,33 @@
 pub struct Backend {
     /// The service it belongs to.
     pub service: id::Service,
-    /// What the platform publishes about it.
+    /// Entry in the service's published placement.
     pub server: Server,
-    /// The hosts whose majority says who owns it, those that should own it first.
+    /// The hosts whose majority decides who owns it, those that should own it first.
     pub guardians: Vec<id::Host>,
     /// The host that should own it: its first guardian that is alive and in service.
     pub owner: Option<id::Host>,
 }
 
-/// How far a host's process has come, as the process itself says.
+/// Lifecycle stage of a host's process, as the process itself announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// It gathers what it must know before it takes work.
+    /// It collects the state that it needs before it accepts work.
     Starting,
-    /// It takes work.
+    /// It accepts work.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its work and accepts nothing new.
     Leaving,
     /// It has ended.
     Gone,
 }
 
-/// What the other processes found out about a host by probing it.
+/// Health of a host as found by other processes that probe it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Health {
-    /// It answers, as far as anybody knows.
+    /// It answers, as far as is known.
     Alive,
-    /// It failed to answer and has not contradicted yet.
+    /// It failed to answer and has not refuted the suspicion yet.
     Suspect,
     /// It failed to answer for longer than a live host would.
     Dead,
@@ -69,19 +69,20 @@
 /// A host as this process knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Host {
-    /// Where its process listens for the others, by TCP and UDP.
+    /// Address at which its process listens for other processes, by TCP and UDP.
     pub address: SocketAddr,
-    /// The failure domain it is in.
+    /// Failure domain of the host.
     pub domain: id::Domain,
-    /// The region its failure domain is in.
+    /// Region of its failure domain.
     pub region: id::Region,
-    /// The incarnation of its process; 0 as long as nobody has heard of it.
+    /// Incarnation of its process; 0 until something has been heard of it.
     pub incarnation: id::Incarnation,
-    /// How far its process has come.
+    /// Lifecycle stage of its process.
     pub stage: Stage,
-    /// Whether it answers.
+    /// Result of probing the host.
     pub health: Health,
-    /// Whether operators have taken it or its failure domain out, or it is published as leaving.
+    /// Whether operators have taken the host or its failure domain out of service, or it is
+    /// published as leaving.
     pub out: bool,
 }
 
@@ -92,30 +93,31 @@
     }
 }
 
-/// An immutable picture of the fleet, made anew at each change; cloning it is cheap.
+/// Immutable snapshot of the fleet, replaced at each change; cheap to clone.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(from = "Seen", into = "Seen")]
 pub struct View {
-    /// Changes with everything but [`Self::fresh_until`].
+    /// Increases with every change of the view except to [`Self::fresh_until`]; 0 for a view that
+    /// no process has updated.
     pub generation: u64,
-    /// When this picture is too old to act on, unless it is renewed.
+    /// Time from which the view is too old to act on, unless it is renewed.
     ///
-    /// A process that is paused or cut off stops renewing it. Who compares it with the clock at
-    /// each act needs no message to learn of the pause.
+    /// A process that is paused or cut off stops renewing it. Code that compares it with the clock
+    /// before each action needs no message to learn of the pause.
     pub fresh_until: Time,
     /// The values in force.
     pub values: Arc<Values>,
     /// All backend servers by name.
     pub backends: Arc<HashMap<id::Backend, Backend>>,
-    /// All hosts that are published or were heard of, this process's own included.
+    /// All hosts that are published or were heard of, this one included.
     pub hosts: Arc<BTreeMap<id::Host, Host>>,
-    /// Hosts that may be given work, in the order of their names.
+    /// Hosts that may be given work, in order of name.
     // INVARIANT: When made by `derive`, the hosts of `hosts` for which `is_usable` holds.
     pub alive: Arc<[id::Host]>,
 }
 
 impl View {
-    /// Derives a view that stays fresh from the values in force and the hosts held to be alive.
+    /// Derives a view that never expires from the values in force and the hosts considered alive.
     pub fn new(values: Values, alive: Vec<id::Host>) -> Self {
         Self {
             generation: 0,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Derives a view from the values in force and all that is known of hosts.
+    /// Derives a view from the values in force and the state of all known hosts.
     pub fn derive(
         generation: u64,
         fresh_until: Time,
@@ -149,11 +151,11 @@
         is_out(&self.values, host)
     }
 
-    /// Derives the view that follows this one, with new values if there are any.
+    /// Derives the next view, with new values if there are any.
     pub fn follow(&self, values: Option<&Values>, hosts: BTreeMap<id::Host, Host>) -> Self {
         let generation = self.generation + 1;
-        // To choose owners costs backend servers times hosts; most changes of hosts, as from one
-        // incarnation to the next, leave the choice as it is.
+        // Choosing owners costs backend servers times hosts; most changes of hosts, such as a new
+        // incarnation, leave the choice unchanged.
         if values.is_none() && usable(&hosts).eq(usable(&self.hosts)) {
             return Self {
                 generation,
@@ -173,11 +175,11 @@
         }
     }
 
-    /// The guardians of a backend server, if they are the same by `roster` as in this view.
+    /// The guardians of a backend server, if they are the same under `roster` as in this view.
     ///
-    /// They rest on the published list and the failure domain alone. To weigh all hosts for each
-    /// backend server again at every other change would keep the task that answers probes for half a
-    /// second at the target size, and others would take the process for dead.
+    /// They depend only on the published list and the failure domain. Weighing all hosts again for
+    /// each backend server at every other change would block the task that answers probes for half
+    /// a second at the target size, and others would consider the process dead.
     fn kept_guardians(
         &self,
         roster: Option<&Arc<Roster>>,
@@ -190,12 +192,12 @@
         same.then(|| known.guardians.clone())
     }
 
-    /// Whether the process may still act on this picture at `now`.
+    /// Whether the process may still act on this view at `now`.
     pub fn is_fresh(&self, now: Time) -> bool {
         now < self.fresh_until
     }
 
-    /// Whether new work may be sent to `backend`, as far as operators and the platform say.
+    /// Whether operators and the platform allow new work to be sent to `backend`.
     pub fn in_service(&self, backend: &str) -> bool {
         let Some(backend) = self.backends.get(backend) else {
             return false;
@@ -208,13 +210,13 @@
         backend.server.state == State::Live && !out
     }
 
-    /// The host that owns `backend`.
+    /// The host that should own `backend`.
     pub fn owner(&self, backend: &str) -> Option<&id::Host> {
         self.backends.get(backend)?.owner.as_ref()
     }
 }
 
-/// The hosts that may be given work, with all on which the choice among them may rest.
+/// The hosts that may be given work, with every property that the choice among them may depend on.
 fn usable(
     hosts: &BTreeMap<id::Host, Host>,
 ) -> impl Iterator<Item = (&id::Host, &id::Domain, &id::Region)> {
