--- a/crates/lentillift-fleet/src/grant.rs
+++ b/crates/lentillift-fleet/src/grant.rs
@@ -1,8 +1,8 @@
-//! What one guardian has granted.
+//! Grants of one guardian.
 //!
 //! A guardian grants a backend server to one holder at a time, until its own clock passes the term.
-//! All of it is in memory only: after a restart the guardian grants nothing until a full term has
-//! passed, because what it granted before may still be in use. Without that wait, a guardian that
+//! Grants are kept in memory only: after a restart the guardian grants nothing until a full term
+//! has passed, because its earlier grants may still be in use. Without that wait, a guardian that
 //! restarts within a term grants the same backend server twice, which shows as more requests in
 //! flight than the server's limit.
 
@@ -11,55 +11,56 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Number of an attempt to hold a backend server, never used twice by one incarnation.
+/// Number of an attempt to hold a backend server, never reused within one incarnation.
 pub type Attempt = u64;
 
-/// Who holds a backend server, or wants to.
+/// Holder of a backend server, or a claimant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Holder {
-    /// Its host.
+    /// Host of the holder.
     pub host: id::Host,
-    /// The incarnation of its process.
+    /// Incarnation of the process on that host.
     pub incarnation: id::Incarnation,
-    /// Its attempt.
+    /// Attempt for which the grant was claimed.
     pub attempt: Attempt,
 }
 
-/// A request to hold one backend server, or to go on holding it.
+/// Request to acquire or renew a lease on one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claim {
-    /// The backend server.
+    /// Backend server that is claimed.
     pub backend: id::Backend,
-    /// The attempt that the grant is to count for.
+    /// Attempt that the grant counts for.
     pub attempt: Attempt,
-    /// The holder that has handed over to the one that claims.
+    /// Previous holder, if it has handed the server over to the claimant.
     pub ceded_by: Option<Holder>,
-    /// The host list's revision that the one that claims goes by.
+    /// Revision of the host list that the claimant uses.
     pub revision: id::Revision,
-    /// Up to which revision of the host list no earlier guardians can grant any more.
+    /// Highest revision of the host list whose earlier guardians can no longer grant.
     pub sealed: id::Revision,
 }
 
 /// A guardian's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
-    /// Granted for a term, counted from when the claim was sent.
+    /// Granted for a term, which the holder counts from when it sent the claim.
     Granted,
     /// Another host holds it.
     Held(id::Host),
     /// The guardian started less than a term ago.
     Starting,
-    /// The claim goes by an older host list than one the guardian has granted by.
+    /// The claim uses an older host list than one that the guardian has granted by.
     Outdated,
 }
 
-/// Figures of a guardian.
+/// Parameters of a guardian.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a grant lasts.
+    /// Duration of a grant.
     ///
-    /// Three renewals, one a second, fit in: two lost in a row do not end a lease. It is also how
-    /// long a backend server goes without an owner after a kill, while its replicas serve.
+    /// Three renewals, one per second, fit in, so that two lost in a row do not end a lease. It is
+    /// also how long a backend server goes without an owner after its holder is killed, while its
+    /// replicas serve.
     pub term: Duration,
 }
 
@@ -71,13 +72,14 @@
     }
 }
 
-/// A grant.
+/// The latest grant of one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Grant {
     holder: Holder,
     until: Time,
-    /// Newest host list that was granted by; claims by older ones are refused for good.
-    // INVARIANT: Never falls, also when the grant itself has ended.
+    /// Newest host list that a grant was based on; claims based on older ones are refused
+    /// permanently.
+    // INVARIANT: Never decreases, even after the grant itself has ended.
     floor: id::Revision,
 }
 
@@ -90,7 +92,7 @@
 }
 
 impl Register {
-    /// Starts at `now` with no memory of what an earlier incarnation granted.
+    /// Starts at `now`, without any record of what an earlier incarnation granted.
     pub fn new(now: Time, options: Options) -> Self {
         Self {
             options,
@@ -104,7 +106,7 @@
         now >= self.started + self.options.term
     }
 
-    /// Decides on a claim by `from` and remembers a grant.
+    /// Decides on a claim by `from` and records a grant.
     pub fn claim(&mut self, now: Time, from: &Holder, claim: &Claim) -> Verdict {
         if !self.is_settled(now) {
             return Verdict::Starting;
@@ -132,7 +134,7 @@
         Verdict::Granted
     }
 
-    /// Ends a grant that its holder gives back.
+    /// Ends a grant that its holder releases.
     pub fn release(&mut self, now: Time, backend: &id::Backend, from: &Holder) {
         if let Some(grant) = self.grants.get_mut(backend)
             && grant.holder == *from
@@ -141,14 +143,15 @@
         }
     }
 
-    /// When the last grant of `backend` ended or will end; the start, if there was none.
+    /// When the latest grant of `backend` ends or has ended; the end of the wait after the start,
+    /// if there was none.
     pub fn vacant_from(&self, backend: &id::Backend) -> Time {
         let settled = self.started + self.options.term;
         let grant = self.grants.get(backend);
         grant.map_or(settled, |grant| grant.until.max(settled))
     }
 
-    /// The host that holds `backend` as far as this guardian knows.
+    /// The host that holds `backend` according to this guardian's grants.
     pub fn holder(&self, now: Time, backend: &id::Backend) -> Option<&id::Host> {
         let grant = self.grants.get(backend)?;
         (now < grant.until).then_some(&grant.holder.host)
--- a/crates/lentillift-fleet/src/lease.rs
+++ b/crates/lentillift-fleet/src/lease.rs
@@ -1,8 +1,8 @@
-//! One process's lease on one backend server: grants of a majority of its guardians.
+//! Lease of one process on one backend server: grants of a majority of the server's guardians.
 //!
-//! A holder counts a grant from when it *sent* the claim, a guardian from when it received it. So
-//! the holder stops first, however long messages take, and clocks need no common time, only rates
-//! that differ by less than [`Options::drift`] in a term.
+//! The holder counts a grant from when it *sent* the claim, the guardian from when it received it.
+//! The holder therefore stops first, however long messages take. Clocks need not be synchronised;
+//! only their rates must differ by less than [`Options::drift`] within a term.
 
 use crate::grant::Attempt;
 use crate::guardian;
@@ -11,14 +11,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Figures of a lease.
+/// Parameters of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a guardian grants.
+    /// Duration of a grant.
     pub term: Duration,
-    /// How much a holder's clock may fall behind a guardian's in a term.
+    /// Largest amount by which a holder's clock may fall behind a guardian's within a term.
     pub drift: Duration,
-    /// How long after a change of the host list guardians that are gone from it may still grant.
+    /// How long after a change of the host list the guardians removed from it may still grant.
     ///
     /// Matters only when two of three guardians left the list at once; see [`Quorum`].
     pub settle: Duration,
@@ -34,11 +34,11 @@
     }
 }
 
-/// Guardians of an earlier host list that may still grant to someone who goes by it.
+/// Guardians of an earlier host list, which may still grant to a process that uses that list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Prior {
     hosts: Vec<id::Host>,
-    /// The revision of the list that took the earlier one's place.
+    /// Revision of the list that replaced the earlier one.
     replaced_by: id::Revision,
     /// When this process saw the list change.
     since: Time,
@@ -46,18 +46,20 @@
 
 /// The guardians whose grants make a lease.
 ///
-/// After a change of the host list a majority of the earlier guardians is needed too, until a
-/// holder had it once: from then on these refuse whoever still goes by the earlier list.
+/// After a change of the host list a majority of the earlier guardians is needed too, until some
+/// holder has had it once. From then on the earlier guardians refuse every process that still uses
+/// the earlier list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Quorum {
-    /// The guardians by the host list in force here.
+    /// Guardians according to the host list in force at this process.
     pub current: Vec<id::Host>,
-    /// The revision of that list.
+    /// Revision of that list.
     pub revision: id::Revision,
-    /// Earlier guardians that are not known to go by a newer list, oldest first.
+    /// Earlier guardians that are not known to use a newer list, oldest first.
     prior: Vec<Prior>,
-    /// Up to this revision of the list no earlier guardians can grant any more.
-    // INVARIANT: Never falls, and no member of `prior` was replaced by it or an earlier one.
+    /// Highest revision of the list whose earlier guardians can no longer grant.
+    // INVARIANT: Never decreases, and no element of `prior` was replaced by this or an earlier
+    // revision.
     sealed: id::Revision,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Goes over to the guardians of a newer host list.
+    /// Switches to the guardians of a newer host list.
     pub fn change(&mut self, now: Time, current: Vec<id::Host>, revision: id::Revision) {
         self.revision = revision;
         let mut sorted = (self.current.clone(), current.clone());
@@ -89,25 +91,25 @@
         }
     }
 
-    /// Drops earlier guardians: a holder that goes by list `revision` has had their majority.
+    /// Drops earlier guardians, because a holder that uses list `revision` has had their majority.
     pub fn seal(&mut self, revision: id::Revision) {
         self.sealed = self.sealed.max(revision);
         let sealed = self.sealed;
         self.prior.retain(|prior| prior.replaced_by > sealed);
     }
 
-    /// Up to which revision no earlier guardians can grant any more.
+    /// Highest revision of the list whose earlier guardians can no longer grant.
     pub fn sealed(&self) -> id::Revision {
         self.sealed
     }
 
-    /// Since when the list in force has been known, as far as earlier guardians still matter.
+    /// When the list in force became known here; zero if no earlier guardians matter any more.
     fn since(&self) -> Time {
         let since = self.prior.iter().map(|prior| prior.since);
         since.max().unwrap_or_default()
     }
 
-    /// Drops earlier guardians most of whom are gone from the list for a stated time.
+    /// Drops earlier guardians whose majority left the list at least `settle` ago.
     pub fn settle<F>(&mut self, now: Time, settle: Duration, listed: F)
     where
         F: Fn(&id::Host) -> bool,
@@ -118,7 +120,7 @@
         });
     }
 
-    /// All hosts to ask.
+    /// All guardians that a claim must be sent to, current and earlier ones.
     pub fn hosts(&self) -> Vec<id::Host> {
         let prior = self.prior.iter().flat_map(|prior| &prior.hosts);
         let mut hosts: Vec<_> = self.current.iter().chain(prior).cloned().collect();
@@ -127,7 +129,7 @@
         hosts
     }
 
-    /// Until when `grants` make a lease.
+    /// End of the lease that `grants` make.
     fn until(&self, grants: &BTreeMap<id::Host, Time>) -> Time {
         let prior = self.prior.iter().map(|prior| &prior.hosts);
         let sets = std::iter::once(&self.current).chain(prior);
@@ -136,7 +138,7 @@
     }
 }
 
-/// Until when a majority of `hosts` has granted.
+/// Time until which a majority of `hosts` has granted.
 fn majority_until(hosts: &[id::Host], grants: &BTreeMap<id::Host, Time>) -> Time {
     if hosts.is_empty() {
         return Time::ZERO;
@@ -152,12 +154,12 @@
 pub struct Lease {
     /// The attempt's number.
     pub attempt: Attempt,
-    /// Until when each guardian has granted, by this process's clock.
+    /// End of each guardian's grant, by this process's clock.
     grants: BTreeMap<id::Host, Time>,
 }
 
 impl Lease {
-    /// Starts without grants.
+    /// Starts an attempt without grants.
     pub fn new(attempt: Attempt) -> Self {
         Self {
             attempt,
@@ -170,21 +172,23 @@
         self.grants.is_empty()
     }
 
-    /// Notes a grant that answers a claim sent at `sent`.
+    /// Records a grant that answers a claim sent at `sent`.
     pub fn granted(&mut self, host: &id::Host, sent: Time, options: &Options) {
         let until = sent + options.term.saturating_sub(options.drift);
         let old = self.grants.entry(host.clone()).or_default();
         *old = until.max(*old);
     }
 
-    /// Until when work may be under way at the backend server.
+    /// End of the lease: no work may be in flight at the backend server after it.
     pub fn until(&self, quorum: &Quorum) -> Time {
         quorum.until(&self.grants)
     }
 
-    /// Whether every grant that makes this lease goes by the list in force.
+    /// Whether every grant that makes up this lease was given for a claim that used the list in
+    /// force.
     pub fn seals(&self, quorum: &Quorum, options: &Options) -> bool {
-        // Grants for claims that were sent after the change end a term after it at the earliest.
+        // A grant for a claim that was sent after the change ends a term after the change at the
+        // earliest.
         let least = quorum.since() + options.term.saturating_sub(options.drift);
         self.until(quorum) >= least
     }
--- a/crates/lentillift-fleet/src/lease_manager.rs
+++ b/crates/lentillift-fleet/src/lease_manager.rs
@@ -1,10 +1,10 @@
-//! All backend servers that this process guards, claims or holds.
+//! Lease state of all backend servers that this process guards, claims or holds.
 //!
-//! Pattern: a host dies, pauses or is taken out while its backend servers are in use. Without this
-//! module two processes may each send a server its full limit. With it a process sends only while a
-//! majority of the server's guardians lets it. The first guardian claims; the next takes over when
-//! the grant that it gave itself has run out unrenewed; a holder that is not the first guardian
-//! hands over to a better one as soon as that one asks.
+//! Scenario: a host dies, pauses or is taken out of service while its backend servers are in use.
+//! Without leases two processes may each send a server its full limit. With them a process sends
+//! only while a majority of the server's guardians allows it. The first guardian claims; the next
+//! one takes over when the grant that it gave has expired without renewal; a holder that is not the
+//! first guardian hands over to a better one as soon as that one claims.
 
 mod claim;
 mod guard;
@@ -27,27 +27,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Figures of the leases of a process.
+/// Parameters of the leases of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// How long guardians grant, and with what margins holders count it.
+    /// Duration of grants, and the margins that holders subtract.
     pub lease: lease::Options,
-    /// Time between renewals; all renewals for one guardian go in one message.
+    /// Renewal period; all renewals for one guardian go in one message.
     pub renew: Duration,
-    /// Time between claims of one that is not yet granted, and before it is given up.
+    /// Time between two claims of a server that is not yet granted; after twice this time the
+    /// attempt is given up.
     pub retry: Duration,
-    /// How much later each further guardian claims what is vacant.
+    /// Delay with which each further guardian claims a vacant server.
     ///
-    /// Without it all guardians claim at once, split the grants and all fail. Longer than the time
-    /// that a claim takes between any two hosts of a region.
+    /// Without it all guardians claim at once, split the grants and all fail. It is longer than the
+    /// time that a claim takes between any two hosts of a region.
     pub stagger: Duration,
-    /// How long a process must have run before it asks to have its servers handed back.
+    /// Time that a process must have run before it requests servers from their present holders.
     ///
     /// Without it a host that restarts over and over moves its servers twice at each start.
     pub settle: Duration,
-    /// How long a hand-over waits for requests under way before it passes them on as a count.
+    /// Time for which a hand-over waits for requests in flight before it passes them on as a count.
     pub drain: Duration,
-    /// How long a hand-over that nobody confirms holds queued sub-requests back.
+    /// Time for which a hand-over that is not confirmed holds queued sub-requests back.
     pub confirm: Duration,
 }
 
@@ -68,67 +69,67 @@
 /// Whether this process may send work to a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseState {
-    /// It may not; if another host is known to, that one is named.
+    /// It may not; the host is the holder, if one is known.
     No(Option<id::Host>),
-    /// It will soon, or another will: work may wait, and must not be sent.
+    /// It will soon, or another process will: work may wait, and must not be sent.
     Pending,
-    /// It may until then, by this process's clock.
+    /// It may until this time, by this process's clock.
     Until(Time),
 }
 
-/// What a holder passes to its successor.
+/// State of a backend server that a holder passes to its successor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transfer {
-    /// The backend server.
+    /// Backend server that is handed over.
     pub backend: id::Backend,
-    /// The holder that gives it up; it sends nothing more.
+    /// Previous holder; it sends nothing more.
     pub from: Holder,
-    /// Requests that the backend server may run at a time, as far as it has warmed up.
+    /// Number of concurrent requests that the backend server may run, as far as it has warmed up.
     pub limit: u32,
-    /// Requests that it still has from the holder that gives it up.
+    /// Number of requests of the previous holder that are still in flight.
     pub in_flight: u32,
-    /// Time after which it has none of these any more.
+    /// Time after which none of these is in flight any more.
     pub left: Duration,
 }
 
-/// What a process wants done about its leases.
+/// Action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send claims to a guardian.
     Claim {
-        /// The guardian.
+        /// Guardian that receives the claims.
         to: id::Host,
-        /// When they are sent, by this process's clock; the answer brings it back.
+        /// When the claims are sent, by this process's clock; the answer returns it.
         sent: Time,
-        /// The claims.
+        /// One claim per backend server.
         claims: Vec<Claim>,
     },
-    /// Give grants back to a guardian.
+    /// Release grants of a guardian.
     Release {
-        /// The guardian.
+        /// Guardian that gave the grants.
         to: id::Host,
-        /// The backend servers, with the attempts that are given up.
+        /// Backend servers with the attempts that are given up.
         released: Vec<(id::Backend, Attempt)>,
     },
-    /// This process may send work; the transfer is there after a hand-over.
+    /// This process may send work to the backend server.
     Acquired {
-        /// The backend server.
+        /// Backend server that was acquired.
         backend: id::Backend,
-        /// What the holder before it passed on.
+        /// State that the previous holder passed on; none without a hand-over.
         transfer: Option<Transfer>,
     },
-    /// Tell the holder before this one that the hand-over is complete.
+    /// Tell the previous holder that the hand-over is complete.
     Confirm {
-        /// The holder before this one.
+        /// Previous holder.
         to: id::Host,
-        /// The backend server.
+        /// Backend server that was handed over.
         backend: id::Backend,
     },
-    /// What may be done with a backend server has changed.
+    /// The lease state of a backend server has changed.
     Changed(id::Backend),
 }
 
-/// All backend servers that this process guards, claims or holds.
+/// Lease state of all backend servers that this process guards, claims or holds.
 #[derive(Debug)]
 pub struct LeaseManager {
     host: id::Host,
@@ -169,7 +170,7 @@
 
     /// Whether the backend servers that this process guards have holders, or had time to get them.
     ///
-    /// A process that called itself ready at once would let a rolling restart go on while it grants
+    /// If a process reported itself ready at once, a rolling restart would go on while it grants
     /// nothing yet; with the next one down, no majority would be left.
     pub fn is_ready(&self, now: Time) -> bool {
         let held = |backend| self.register.holder(now, backend).is_some();
@@ -203,7 +204,7 @@
         held.map(|(backend, _)| backend)
     }
 
-    /// The backend servers that wait for requests under way before they are handed over, each with
+    /// The backend servers that wait for requests in flight before they are handed over, each with
     /// whether the wait is over.
     pub fn ceding(&self, now: Time) -> Vec<(id::Backend, bool)> {
         let ceding = self.places.iter().filter_map(|(backend, place)| {
@@ -215,13 +216,13 @@
         ceding.collect()
     }
 
-    /// Whether nothing is held or on its way to a successor.
+    /// Whether nothing is held, claimed or being handed over.
     pub fn is_empty(&self) -> bool {
         let mut stages = self.places.values().map(|place| &place.stage);
         stages.all(|stage| matches!(stage, Stage::Idle { .. }))
     }
 
-    /// Takes a new view of the fleet.
+    /// Adopts a new view of the fleet.
     pub fn set_view(&mut self, now: Time, view: Arc<View>) -> Vec<Effect> {
         let old = std::mem::replace(&mut self.view, view.clone());
         if old.generation == view.generation && view.generation > 0 {
@@ -264,7 +265,8 @@
         self.tick(now)
     }
 
-    /// Does what is due: renews, claims what is vacant, hands over what others should hold.
+    /// Does what is due: renews leases, claims vacant servers, hands over servers that others
+    /// should hold.
     pub fn tick(&mut self, now: Time) -> Vec<Effect> {
         let renew = now >= self.next_renewal;
         let retry = now >= self.next_retry;
--- a/crates/lentillift-fleet/src/lease_manager/claim.rs
+++ b/crates/lentillift-fleet/src/lease_manager/claim.rs
@@ -1,4 +1,4 @@
-//! The side of a process that claims backend servers, renews what it holds and gives up the rest.
+//! Holder side of a lease: claims backend servers, renews leases and gives up the rest.
 
 use super::Effect;
 use super::LeaseManager;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 impl LeaseManager {
-    /// Forgets earlier guardians that can no longer grant.
+    /// Drops earlier guardians that can no longer grant.
     pub(super) fn settle(&mut self, now: Time, name: &id::Backend) {
         let settle = self.options.lease.settle;
         let Some(place) = self.places.get_mut(name) else {
@@ -85,12 +85,14 @@
             return false;
         };
         let vacant = self.register.vacant_from(name) + self.options.stagger * rank as u32;
-        // The first guardian also asks for what another holds, once it has run for a while.
+        // The first guardian also claims servers that another process holds, once it has run for a
+        // while.
         let returns = rank == 0 && now >= self.started + self.options.settle;
         now >= vacant || returns
     }
 
-    /// A guardian's place in the order in which they should hold a backend server.
+    /// Position of a guardian in the order in which they should hold a backend server; none for a
+    /// host that is no guardian or out of service.
     pub(super) fn rank(&self, name: &id::Backend, host: &id::Host) -> Option<usize> {
         let backend = self.view.backends.get(name)?;
         let able = backend
@@ -100,7 +102,8 @@
         able.into_iter().position(|guardian| guardian == host)
     }
 
-    /// To whom this process must hand over a backend server that it is not to hold any longer.
+    /// The host to which this process must hand over a backend server that it should no longer
+    /// hold.
     pub(super) fn successor(&self, name: &id::Backend) -> Option<id::Host> {
         let stays = !self.leaving && self.rank(name, &self.host).is_some();
         match stays {
@@ -109,11 +112,13 @@
         }
     }
 
-    /// The other guardian that most likely holds a backend server, when this process knows of none.
+    /// The other guardian that most likely holds a backend server, when this process knows of no
+    /// holder.
     ///
-    /// A process that has just started is asked for the servers that it guards first, and knows
-    /// nothing of who took them over before it came. Sent back, shards would be missing until it
-    /// holds them itself, three seconds at each restart; the next guardian knows.
+    /// A process that has just started is the first to be asked for the servers that it guards, but
+    /// does not know which hosts took them over before it started. If it refused without naming a
+    /// host, shards would be missing until it holds them itself, three seconds at each restart; the
+    /// next guardian knows the holder.
     pub(super) fn likely(&self, name: &id::Backend) -> Option<id::Host> {
         let backend = self.view.backends.get(name)?;
         let able = |host: &&id::Host| {
@@ -130,7 +135,7 @@
         }
     }
 
-    /// Claims backend servers from all their guardians, in one message for each.
+    /// Claims backend servers from all their guardians, in one message for each guardian.
     pub(super) fn send_claims(&self, now: Time, names: &[id::Backend]) -> Vec<Effect> {
         let mut batches: BTreeMap<id::Host, Vec<Claim>> = BTreeMap::new();
         for name in names {
@@ -159,7 +164,7 @@
         claims.collect()
     }
 
-    /// Takes in a guardian's answers to claims that were sent at `sent`.
+    /// Handles a guardian's answers to claims that were sent at `sent`.
     pub fn handle_verdicts(
         &mut self,
         now: Time,
@@ -230,7 +235,7 @@
             return Vec::new();
         };
         match &place.stage {
-            // With a hand-over under way the others follow; one that is late is no reason to stop.
+            // During a hand-over the other guardians follow; one that is late is no reason to stop.
             Stage::Claiming {
                 lease,
                 transfer: None,
@@ -248,7 +253,7 @@
         }
     }
 
-    /// Gives back what was granted to an attempt that has failed.
+    /// Releases the grants of an attempt that has failed.
     pub(super) fn give_up(&mut self, now: Time, name: &id::Backend) -> Vec<Effect> {
         let retry = now + self.options.renew;
         let Some(place) = self.places.get_mut(name) else {
--- a/crates/lentillift-fleet/src/lease_manager/guard.rs
+++ b/crates/lentillift-fleet/src/lease_manager/guard.rs
@@ -1,4 +1,4 @@
-//! The side of a guardian: grants to one holder at a time.
+//! Guardian side of leases: grants each backend server to one holder at a time.
 
 use super::Effect;
 use super::LeaseManager;
@@ -38,7 +38,7 @@
         (verdicts, effects)
     }
 
-    /// Takes back a grant as a guardian.
+    /// Handles the release of grants as a guardian.
     pub fn handle_release(
         &mut self,
         now: Time,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The number of backend servers that this process guards.
+    /// Number of backend servers that this process guards, or still claims or holds.
     pub fn guarded_count(&self) -> usize {
         self.places.len()
     }
--- a/crates/lentillift-fleet/src/lease_manager/handover.rs
+++ b/crates/lentillift-fleet/src/lease_manager/handover.rs
@@ -1,4 +1,4 @@
-//! Handing a backend server over to a better holder, with what is known of it.
+//! Hands a backend server over to a better holder, with its state.
 
 use super::Effect;
 use super::LeaseManager;
@@ -10,7 +10,8 @@
 use lentillift_core::time::Time;
 
 impl LeaseManager {
-    /// Hands over to a guardian that should rather hold a backend server and asks for it.
+    /// Hands over a backend server to a guardian that has claimed it and is to be preferred as its
+    /// holder.
     pub(super) fn asked(&mut self, now: Time, name: &id::Backend, by: &id::Host) -> Vec<Effect> {
         let holding = self.places.get(name);
         let holding = holding.is_some_and(|p| matches!(p.stage, Stage::Holding { .. }));
@@ -39,7 +40,7 @@
         vec![Effect::Changed(name.clone())]
     }
 
-    /// Gives a backend server up for good and names its successor, with the attempt given up.
+    /// Gives a backend server up permanently and returns its successor, with the attempt given up.
     ///
     /// The caller must not send work after this, whatever becomes of the hand-over.
     pub fn hand_over(&mut self, now: Time, name: &id::Backend) -> Option<(id::Host, Holder)> {
@@ -60,7 +61,7 @@
         Some((to, from))
     }
 
-    /// Takes up what another process hands over.
+    /// Accepts a backend server that another process hands over.
     pub fn accept_transfer(&mut self, now: Time, transfer: Transfer) -> Vec<Effect> {
         let name = transfer.backend.clone();
         if self.leaving || self.view.is_out(&self.host) {
@@ -89,7 +90,7 @@
         effects
     }
 
-    /// Notes that a successor has taken over.
+    /// Records that a successor has taken over.
     pub fn handle_confirmation(
         &mut self,
         now: Time,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Starts to hand over everything, because the process is to end.
+    /// Starts to hand over everything, because the process is about to end.
     pub fn leave(&mut self, now: Time) -> Vec<Effect> {
         self.leaving = true;
         self.tick(now)
--- a/crates/lentillift-fleet/src/lease_manager/stage.rs
+++ b/crates/lentillift-fleet/src/lease_manager/stage.rs
@@ -1,4 +1,4 @@
-//! Where a process stands with one backend server.
+//! Stages of one backend server's lease at this process.
 
 use super::Transfer;
 use crate::grant::Attempt;
@@ -7,29 +7,30 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 
-/// Where a process stands with a backend server.
+/// Stage of a backend server's lease at this process.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// It does not hold it; nothing is claimed before `retry`.
+    /// The process does not hold the server, and claims nothing before `retry`.
     Idle {
         retry: Time,
         holder: Option<id::Host>,
     },
-    /// It has asked for grants and has too few so far.
+    /// The process has claimed the server and has too few grants so far.
     Claiming {
         lease: Lease,
         since: Time,
         transfer: Option<Transfer>,
     },
-    /// It may send work while the lease lasts.
+    /// The process may send work while the lease lasts.
     Holding { lease: Lease },
-    /// It sends nothing more and waits for requests under way, to hand over.
+    /// The process sends nothing more and waits for requests in flight, before it hands over to
+    /// `to`.
     Ceding {
         lease: Lease,
         to: id::Host,
         since: Time,
     },
-    /// It has handed over and will never use the attempt again.
+    /// The process has handed over and will never use the attempt again.
     Ceded { to: id::Host, since: Time },
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The lease that is to be renewed, if any.
+    /// The lease that is to be renewed, if any, with the transfer that it started from.
     pub(super) fn lease(&self) -> Option<(&Lease, Option<&Transfer>)> {
         match self {
             Self::Claiming {
