--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -1,21 +1,23 @@
-//! How old knowledge is that came over a way which may be late.
+//! Age of data that was received over a path which may delay messages.
 //!
-//! Pattern: a queue builds up on the way from an origin, and its messages come later and later, one as long
-//! after the other as ever. Each tells the age that the origin's knowledge had when it was written. A
-//! follower that went by that alone would hold outdated knowledge for fresh, and so would all that follow it.
+//! Scenario: a queue builds up on the path from an origin, and its messages arrive later and later,
+//! at the same intervals as ever. Each states the age that the origin's data had when it was
+//! written. A follower that relied on that alone would treat outdated data as fresh, and so would
+//! all that follow it.
 //!
-//! An answer was written after its question was asked. So a follower asks, and counts the age of what it
-//! is told from the time of the question by its own clock. No clocks of two hosts are compared, and whatever
-//! a message waits for, at either end or on its way, makes knowledge older and never fresher.
+//! An answer is written after its poll was sent. So a follower sends numbered polls, and counts the
+//! age of the data from the time of the poll by its own clock. No clocks of two hosts are compared,
+//! and whatever delays a message, at either end or in transit, makes the data older and never
+//! fresher.
 
 use lentillift_core::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of a question to an origin. The request to be told what is published is the first, 0.
+/// Number of a poll to an origin. The request that opens the stream is the first, 0.
 pub type PollNumber = u32;
 
-/// A question without an answer.
+/// A poll and when it was sent.
 #[derive(Debug, Clone, Copy)]
 struct Question {
     number: PollNumber,
@@ -25,13 +27,14 @@
 /// What to do after a message of an origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reaction {
-    /// Nothing: it answers a question, or another question is under way.
+    /// Nothing: the message answers a poll, or another poll is in flight.
     Answer,
-    /// It came by itself. Asked now, the origin proves that what it tells is fresh.
+    /// Send a poll: the message was sent unprompted. The answer proves that the origin's data is
+    /// fresh.
     Ask,
 }
 
-/// A message answers a question that was never asked, or one before those that are answered.
+/// A message answers a poll that was never sent, or one before the last that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnexpectedAnswer(pub PollNumber);
 
@@ -41,19 +44,19 @@
     }
 }
 
-/// The questions of a follower to its origin.
+/// Polls of a follower to its origin.
 #[derive(Debug)]
 pub struct Polls {
-    /// The last one that was answered, or the first before there is an answer.
+    /// The last poll that was answered, or the first before there is an answer.
     last: Question,
-    /// Those after it.
-    // INVARIANT: Neither numbers nor times fall.
+    /// Unanswered polls sent after it.
+    // INVARIANT: Neither numbers nor times decrease.
     open: VecDeque<Question>,
     next: PollNumber,
 }
 
 impl Polls {
-    /// The first question is asked now.
+    /// Starts with the first poll, which is sent now.
     pub fn start(now: Time) -> Self {
         Self {
             last: Question {
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Asks another question now.
+    /// Numbers another poll, which is sent now.
     pub fn send(&mut self, now: Time) -> PollNumber {
         let number = self.next;
         self.next += 1;
@@ -74,11 +77,11 @@
         number
     }
 
-    /// Takes in a message that was written after question `number` had arrived.
+    /// Handles a message that was written after poll `number` had arrived at the origin.
     ///
     /// # Errors
     ///
-    /// When that question is not open.
+    /// When that poll is not outstanding.
     pub fn receive(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
         let is_answer = number != self.last.number;
         while self.last.number != number {
@@ -90,16 +93,17 @@
         }
     }
 
-    /// Age of knowledge that was `told` old when the last message was written.
+    /// Age of data that was `told` old when the last message was written.
     pub fn age(&self, now: Time, told: Duration) -> Duration {
         now.saturating_sub(self.last.asked) + told
     }
 }
 
-/// Age of knowledge after a watch that was held for `wait` told of no change, `passed` after it was asked for.
+/// Age of the data after a watch that was held for `wait` and returned no change, `passed` after it
+/// was requested.
 ///
-/// The service answers no sooner than it has held it for that long, so the answer left at most the rest ago. One
-/// that came too soon proves no more than any answer does.
+/// The service answers only after it has held the watch for that long, so the answer was sent at
+/// most the remaining time ago. An answer that came earlier proves no more than any other answer.
 pub fn age_after_watch(passed: Duration, wait: Duration) -> Duration {
     passed.checked_sub(wait).unwrap_or(passed)
 }
--- a/crates/lentillift-fleet/src/follow/relay_path.rs
+++ b/crates/lentillift-fleet/src/follow/relay_path.rs
@@ -1,32 +1,32 @@
-//! The way that knowledge took, from the host that read it to the one that has it now.
+//! The hosts by which data was relayed, from the host that read it to the one that has it now.
 //!
-//! What goes wrong without it: two failure domains are cut off, and in the first second hosts there take
-//! each other for origins. Each is connected, each is told of knowledge that is not old yet, and nobody
-//! reads the service until that knowledge is two thirds of the bound old; what is published meanwhile
-//! comes into force too late. Whoever is told the way finds itself on it with the first message that
-//! has gone round, some milliseconds after the ring has closed, and leaves.
+//! Fault that this prevents: two failure domains are cut off, and in the first second hosts there
+//! choose each other as origins. Each is connected and receives data that is not old yet, and
+//! nobody reads the service until the data is two thirds of the bound old; what is published
+//! meanwhile comes into force too late. A host that receives the relay path finds itself on it with
+//! the first message that has gone round, some milliseconds after the ring has closed, and leaves.
 
 use lentillift_core::id;
 
-/// Longest way that is believed: it has seven hosts in a fleet of 760, and each origin that is replaced by
-/// a neighbour adds one.
+/// Maximum length of a relay path: seven hosts are usual in a fleet of 760, and each origin that is
+/// replaced by a neighbour adds one.
 pub const MOST: usize = 12;
 
-/// Hosts over which knowledge came, the reader first.
-// INVARIANT: No host stands in it twice, and it is not longer than `MOST`.
+/// Hosts by which data was relayed, the one that read the service first.
+// INVARIANT: No host occurs twice, and there are at most `MOST`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RelayPath {
     hosts: Vec<id::Host>,
 }
 
-/// Why a way is not believed.
+/// Why a relay path is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// It leads over the host that is told of it.
+    /// It contains the host that receives it.
     Ring,
-    /// A host stands in it twice.
+    /// It contains a host twice.
     Repeated,
-    /// It is longer than any that arises.
+    /// It is longer than any that can arise.
     TooLong,
 }
 
@@ -41,18 +41,18 @@
 }
 
 impl RelayPath {
-    /// The way of a host that reads the service.
+    /// Relay path of a host that reads the service.
     pub fn reader(me: &id::Host) -> Self {
         Self {
             hosts: vec![me.clone()],
         }
     }
 
-    /// The way to `me` of knowledge that came by `told` to whoever tells it.
+    /// Relay path of data that `me` received from an origin whose path is `told`.
     ///
     /// # Errors
     ///
-    /// When `told` leads over `me` or can't be the way of anything.
+    /// When `told` contains `me` or is invalid.
     pub fn extend(told: &[id::Host], me: &id::Host) -> Result<Self, Refused> {
         if told.len() >= MOST {
             return Err(Refused::TooLong);
@@ -69,7 +69,7 @@
         Ok(Self { hosts })
     }
 
-    /// The hosts, the reader first.
+    /// The hosts, the one that read the service first.
     pub fn hosts(&self) -> &[id::Host] {
         &self.hosts
     }
--- a/crates/lentillift-fleet/src/follow/search.rs
+++ b/crates/lentillift-fleet/src/follow/search.rs
@@ -1,65 +1,68 @@
-//! Which origin a host tries next, and for how long it keeps one that is not its best.
+//! Chooses the origin that a host tries next, and how long it keeps one that is not its best.
 
 use super::Origin;
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// How long an origin other than the best is kept before the best is tried again.
+/// Time for which an origin other than the best is kept before the best is tried again.
 const HOLD: Duration = Duration::from_secs(4);
 
-/// Least time between two failed calls of one host to the service; refused calls are counted too.
+/// Minimum time between two failed calls of one host to the service; calls that were turned away
+/// count too.
 const SERVICE_PAUSE: Duration = Duration::from_millis(1500);
 
-/// What to do next.
+/// Next step of the search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
-    /// Learn from `origin`, and until then at most if it is not the best.
+    /// Follow `origin`; if it is not the best one, until `until` at most.
     Try {
-        /// The origin.
+        /// Origin to follow.
         origin: Origin,
-        /// When the best one should be tried again.
+        /// When the best one should be tried again; none if this is the best.
         until: Option<Time>,
     },
-    /// All have failed; wait.
+    /// All origins have failed; wait before the next round.
     Pause,
 }
 
 /// How much time is left to find an origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// Enough to try the best ones first.
+    /// Enough to try the best origins first.
     Low,
-    /// Too little to find out that other hosts are silent: the service is tried first.
+    /// Too little to wait for hosts that may be silent: the service is tried first.
     High,
 }
 
 /// Why an origin was left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// It failed, or its knowledge can't be relied on.
+    /// It failed, or its data can't be relied on.
     Failed,
-    /// The best one should be tried again.
+    /// The best origin should be tried again.
     Again,
 }
 
 /// The search of one host for an origin.
 #[derive(Debug, Default)]
 pub struct Search {
-    /// Origins that failed since the last pause. Their places would not do: the order changes when a
-    /// host is found not to answer, and the next one would be passed over.
+    /// Origins that failed since the last pause.
+    ///
+    /// Positions in the order can't be stored instead: the order changes when a host is found not
+    /// to answer, and the next origin would be skipped.
     failed: Vec<Origin>,
-    /// Rounds in which all origins failed since the best one was last tried again.
+    /// Number of rounds in which all origins failed since the best one was last tried again.
     round: usize,
     service_failed: Option<Time>,
 }
 
 impl Search {
-    /// Rounds in which all origins failed since the best one was last tried again.
+    /// Number of rounds in which all origins failed since the best one was last tried again.
     pub fn round(&self) -> usize {
         self.round
     }
 
-    /// What to do now, given where to learn, the best first, and how much time is left.
+    /// Next step, given the origins with the best first and how much time is left.
     pub fn next(&mut self, order: &[Origin], urgency: Urgency, now: Time) -> Next {
         let early = self
             .service_failed
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Notes that `origin` was left.
+    /// Records that `origin` was left.
     pub fn left(&mut self, origin: &Origin, left: LeaveReason, now: Time) {
         match left {
             LeaveReason::Again => {
