--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -1,18 +1,19 @@
-//! Requests that end the backend servers which run them, known as queries of death.
+//! Detects requests that end the backend servers which run them, known as queries of death.
 //!
-//! Load pattern: the content of one request ends each server that begins to run it, and its caller asks
-//! again, at any host. Taken for faults of the servers, these ends are made up for at the next replica: one
-//! search ends both replicas of all its shards, again at each attempt, and nothing else is served
-//! meanwhile.
+//! Scenario: the content of one request ends each server that begins to run it, and its caller
+//! retries at any host. If these ends are treated as faults of the servers, the request is retried
+//! at the next replica: one search ends both replicas of all its shards, again at each attempt, and
+//! nothing else is served meanwhile.
 //!
-//! What tells such a request is that servers ended under it, and that none which ran it ever replied. Until that
-//! is decided, one server at a time finds out (a canary request): a request that was merely there
-//! when servers ended is answered by the canary and served, a few milliseconds later. A request under whose
-//! canaries servers ended as well is quarantined at all hosts.
+//! Such a request is recognised by servers that ended while they had it, with no reply from any
+//! server that ran it. Until that is decided, the request is sent to one server at a time (a canary
+//! request). A request that was merely in flight when servers ended is answered by the canary and
+//! served, a few milliseconds later. A request under whose canaries servers ended as well is
+//! quarantined at all hosts.
 //!
-//! Two requests that are suspect at the same time may have their canaries at the same server, and one ends it. So it
-//! takes more than one canary, and more of them for a request that servers have answered lately: a popular
-//! search is in flight whenever servers end.
+//! Two requests that are suspect at the same time may have their canaries at the same server, and
+//! one of them ends it. So one canary is not enough, and a request that servers have answered
+//! recently needs more of them: a popular search is in flight whenever servers end.
 
 mod account;
 mod proven;
@@ -29,30 +30,34 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Identifies one process of a backend server.
+/// Identifies one process of a backend server, across restarts of the server.
 pub type ProcessId = u64;
 
-/// The process of the backend server that `start` tells from those before and after it.
+/// Identifier of the process of a backend server that `start` distinguishes from earlier and later
+/// ones.
 pub fn process_id(backend: &str, start: u64) -> ProcessId {
     rendezvous::weight(&start.to_string(), backend)
 }
 
-/// Figures of quarantine.
+/// Parameters of quarantine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Servers that have to end under a request, with no reply of any, before it is quarantined.
+    /// Number of servers that have to end under a request, with no reply from any, before it is
+    /// quarantined.
     pub ends: usize,
-    /// How many of them have to end under canaries.
+    /// Number of these servers that have to end under canaries.
     pub canary_ends: usize,
     /// The same for a request that servers have answered within `memory`.
     pub proven_canary_ends: usize,
-    /// Time after which an end that led to nothing is forgotten.
+    /// Time after which an end that led to no quarantine is forgotten.
     pub memory: Duration,
-    /// Time until a canary finds out whether servers bear the request by now; doubled after each.
+    /// Time until a canary tests whether servers can run the request by now; doubled after each
+    /// canary.
     pub hold: Duration,
-    /// Such canaries; after the last the request is held until an operator lifts that.
+    /// Number of such canaries; after the last the request stays quarantined until an operator
+    /// lifts it.
     pub trials: u32,
-    /// Requests that are remembered.
+    /// Maximum number of requests that are remembered.
     pub records: usize,
 }
 
@@ -70,22 +75,24 @@
     }
 }
 
-/// What is held of a request.
+/// State of a request at this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be sent as usual.
+    /// The request may be sent as usual.
     Clear,
-    /// Servers ended under it and none has replied: it may be sent to one server at a time.
+    /// Servers ended under the request and none has replied: it may be sent to one server at a
+    /// time.
     Suspect,
-    /// It must not be sent.
+    /// The request must not be sent; the time is what remains of the quarantine.
     Quarantined(Duration),
 }
 
 impl Verdict {
     /// How the next send for the request may be made.
     ///
-    /// `is_trial` tells whether it was let in to find out; `is_under_way`, whether something of it is under
-    /// way, which mostly is answered, so that no canary is needed.
+    /// `is_trial` says whether the request was admitted as a canary during a quarantine.
+    /// `is_under_way` says whether another send of the request is in flight; that one is mostly
+    /// answered, so that no canary is needed.
     pub fn next(self, is_trial: bool, is_under_way: bool) -> Next {
         match self {
             Self::Clear => Next::Send,
@@ -101,11 +108,11 @@
 pub enum Next {
     /// As usual.
     Send,
-    /// As the only one, to find out what the request does to a server.
+    /// As the only one in flight, to test what the request does to a server.
     Canary,
-    /// Not before that is known.
+    /// Only after the result of the send in flight is known.
     Wait,
-    /// Not any more.
+    /// The request is given up.
     GiveUp,
 }
 
@@ -114,37 +121,38 @@
 pub enum Admission {
     /// As usual.
     Serve,
-    /// One server at a time, until one replies.
+    /// The request is sent to one server at a time, until one replies.
     Canary,
-    /// Not at all; the time is until it may be asked again.
+    /// The request is refused; it may be retried after this time.
     Refuse(Duration),
 }
 
-/// A server that ended while it had a request.
+/// A server process that ended while it had a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
     /// The process that ended.
     pub process: ProcessId,
-    /// Whether nothing else was sent for the request at that time, because it was suspect.
+    /// Whether the request was a canary: nothing else was sent for it at that time, because it was
+    /// suspect.
     pub canary: bool,
 }
 
-/// Time that is told for a quarantine without an end.
+/// Remaining time that is reported for a quarantine without an end.
 const FOREVER: Duration = Duration::from_secs(24 * 3600);
 
-/// What this host holds of requests under which servers ended.
+/// Requests under which servers ended, as known to this host.
 #[derive(Debug, Default)]
 pub struct Table {
     // INVARIANT: No more than `Options::records`.
     records: HashMap<Fingerprint, Record>,
-    /// Requests that servers have answered lately.
+    /// Requests that servers have answered recently.
     proven: Proven,
-    /// Whether some record has changed since others were told.
+    /// Whether some record has changed since updates were last sent to other hosts.
     has_news: bool,
 }
 
 impl Table {
-    /// What is held of a request.
+    /// State of a request at this host.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Time) -> Verdict {
         match self.records.get(&fingerprint) {
             Some(record) => record.verdict(now),
@@ -152,10 +160,10 @@
         }
     }
 
-    /// How a request that has just arrived is treated.
+    /// Decides how a request that has just arrived is treated.
     ///
-    /// The end of a quarantine lets one canary through: the quarantine is renewed before it is sent,
-    /// so that no other host sends one as well.
+    /// The end of a quarantine lets one canary through: the quarantine is renewed before the canary
+    /// is sent, so that no other host sends one as well.
     pub fn admit(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) -> Admission {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return Admission::Serve;
@@ -171,7 +179,7 @@
         }
     }
 
-    /// Notes a server that ended while it had the request, with no reply of another to it.
+    /// Records a server that ended while it had the request, with no reply of another to it.
     pub fn record_end(&mut self, options: &Options, fingerprint: Fingerprint, end: End, now: Time) {
         self.make_room(options, fingerprint, now);
         let canary_ends = self.canary_ends(options, fingerprint, now);
@@ -179,7 +187,7 @@
         self.has_news |= record.ended(options, canary_ends, end, now);
     }
 
-    /// Servers that have to end under canaries of a request.
+    /// Number of servers that have to end under canaries of a request before it is quarantined.
     fn canary_ends(&self, options: &Options, fingerprint: Fingerprint, now: Time) -> usize {
         match self.proven.has(fingerprint, now, options.memory) {
             true => options.proven_canary_ends,
@@ -187,7 +195,7 @@
         }
     }
 
-    /// Notes that a server ran the request and replied.
+    /// Records that a server ran the request and replied.
     pub fn record_reply(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) {
         self.proven.note(fingerprint, now, options.records);
         if let Some(record) = self.records.get_mut(&fingerprint) {
@@ -196,7 +204,8 @@
         }
     }
 
-    /// Lets a request be sent again, by an operator's word; says whether it was known.
+    /// Lifts a quarantine on behalf of an operator; returns whether the request was suspect or
+    /// quarantined.
     pub fn lift(&mut self, fingerprint: Fingerprint, now: Time) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return false;
@@ -206,7 +215,7 @@
         lifted
     }
 
-    /// Takes in what another host holds; says how much of it was new.
+    /// Merges records of another host; returns how many of them changed something.
     pub fn merge(&mut self, options: &Options, accounts: &[SharedRecord], now: Time) -> usize {
         let mut new = 0;
         for account in accounts {
@@ -219,12 +228,12 @@
         new
     }
 
-    /// Whether others should be told something.
+    /// Whether there are updates to send to other hosts.
     pub fn has_updates(&self) -> bool {
         self.has_news
     }
 
-    /// What has changed since this was last asked for.
+    /// Takes the records that have changed since the last call.
     pub fn take_updates(&mut self, now: Time) -> Vec<SharedRecord> {
         self.has_news = false;
         let records = self.records.iter_mut();
@@ -235,7 +244,7 @@
         changed.collect()
     }
 
-    /// What is held of `most` requests; the latest first.
+    /// Records of at most `most` requests, the most recently changed first.
     pub fn shared_records(&self, most: usize, now: Time) -> Vec<SharedRecord> {
         let records = self.records.iter();
         let mut accounts: Vec<SharedRecord> = records
@@ -246,20 +255,20 @@
         accounts
     }
 
-    /// What is held of one request.
+    /// Record of one request.
     pub fn shared_record(&self, fingerprint: Fingerprint, now: Time) -> Option<SharedRecord> {
         let record = self.records.get(&fingerprint)?;
         Some(record.account(fingerprint, now))
     }
 
-    /// Forgets what led to nothing.
+    /// Forgets requests that led to no quarantine within [`Options::memory`].
     pub fn expire(&mut self, options: &Options, now: Time) {
         self.records
             .retain(|_, record| !record.is_over(options, now));
     }
 
-    /// Makes room for one more request: first goes what is clear, then what is suspect, then
-    /// the oldest quarantine. Requests that are made up on purpose push each other out.
+    /// Makes room for one more request: clear ones are removed first, then suspect ones, then the
+    /// oldest quarantine. Requests that are crafted to fill the table evict each other.
     fn make_room(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) {
         let is_known = self.records.contains_key(&fingerprint);
         if is_known || self.records.len() < options.records {
--- a/crates/lentillift-fleet/src/quarantine/account.rs
+++ b/crates/lentillift-fleet/src/quarantine/account.rs
@@ -1,38 +1,40 @@
-//! What hosts tell each other of requests under which servers ended.
+//! Records of requests under which servers ended, as exchanged between hosts.
 
 use super::ProcessId;
 use lentillift_core::fingerprint::Fingerprint;
 use std::time::Duration;
 
-/// How far it is decided what a request does.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Servers ended under it, and none has replied.
+    /// Servers ended under the request, and none has replied.
     Suspect,
-    /// It is not sent.
+    /// The request is not sent.
     Quarantined {
         /// Time until a canary may be sent; none once all have been.
         left: Option<Duration>,
-        /// Canaries that were sent since it was quarantined.
+        /// Number of canaries that were sent since the quarantine began.
         trials: u32,
     },
-    /// A server ran it and replied, or an operator lifted the quarantine.
+    /// A server ran the request and replied, or an operator lifted the quarantine.
     Cleared,
 }
 
-/// What a host holds of one request.
+/// A host's record of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SharedRecord {
-    /// The request.
+    /// Identifies the content of the request.
     pub fingerprint: Fingerprint,
-    /// Times that it was cleared; of two accounts the later generation holds.
+    /// Number of times that the request was cleared; of two records the one of the later generation
+    /// applies.
     pub generation: u32,
-    /// Processes that ended under it in this generation; no more than decide.
+    /// Processes that ended under the request in this generation; no more than are needed to
+    /// decide.
     pub ends: Vec<ProcessId>,
-    /// Those that ended under a canary; no more than decide.
+    /// Those that ended under a canary; no more than are needed to decide.
     pub canary_ends: Vec<ProcessId>,
-    /// Time since something last changed where it comes from.
+    /// Time since the record last changed at its sender.
     pub age: Duration,
-    /// What follows.
+    /// Decision at the sender.
     pub state: State,
 }
--- a/crates/lentillift-fleet/src/quarantine/proven.rs
+++ b/crates/lentillift-fleet/src/quarantine/proven.rs
@@ -1,4 +1,4 @@
-//! Requests that servers have answered lately.
+//! Requests that servers have answered recently.
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests that servers have answered lately, popular ones among them.
+/// Requests that servers have answered recently, which include the popular ones.
 #[derive(Debug, Default)]
 pub(super) struct Proven {
     answered: HashMap<Fingerprint, Time>,
@@ -16,7 +16,7 @@
 }
 
 impl Proven {
-    /// Notes an answer; of more than `most` requests the first are forgotten.
+    /// Records an answer; beyond `most` requests, those first answered longest ago are forgotten.
     pub(super) fn note(&mut self, fingerprint: Fingerprint, now: Time, most: usize) {
         if self.answered.insert(fingerprint, now).is_none() {
             self.order.push_back(fingerprint);
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -1,9 +1,10 @@
-//! What is held of one request.
+//! State of one request at one host.
 //!
-//! Hosts' clocks differ and messages take time, so what is newer is not told by times. A record has a generation,
-//! which rises with each reply of a server; of two accounts the one of the later generation holds, and
-//! two of the same generation are joined. Told by ages, a doubt and its end followed each other round the fleet
-//! for ever, each a little newer by the time that it took on its way.
+//! Hosts' clocks differ and messages take time, so timestamps don't decide which of two records is
+//! newer. A record has a generation, which increases with each reply of a server; of two records
+//! the one of the later generation applies, and two of the same generation are merged. When ages
+//! decided, a suspicion and its end circulated in the fleet for ever, each made a little newer by
+//! the time that it spent in transit.
 
 use super::End;
 use super::FOREVER;
@@ -16,7 +17,7 @@
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Whether it is decided what a request does.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Stage {
     #[default]
@@ -24,28 +25,28 @@
     Quarantined {
         /// When a canary may be sent; none once all have been.
         until: Option<Time>,
-        /// Canaries that were sent since.
+        /// Number of canaries that were sent since the quarantine began.
         trials: u32,
     },
 }
 
-/// What is held of one request.
+/// State of one request.
 #[derive(Debug, Default)]
 pub(super) struct Record {
-    /// Times that it was cleared.
+    /// Number of times that the request was cleared.
     generation: u32,
-    /// Processes that ended under it in this generation.
+    /// Processes that ended under the request in this generation.
     // INVARIANT: All differ.
     ends: Vec<ProcessId>,
-    /// Those under canaries.
+    /// Processes that ended under canaries in this generation.
     // INVARIANT: All differ.
     canary_ends: Vec<ProcessId>,
-    /// When something last changed.
+    /// When the record last changed.
     latest: Time,
     stage: Stage,
-    /// Whether others should be told.
+    /// Whether the record has changes that were not sent to other hosts.
     is_news: bool,
-    /// Whether others know of this generation.
+    /// Whether other hosts know of this generation.
     is_told: bool,
 }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Renews a quarantine that is over, if a canary may be sent.
+    /// Renews a quarantine whose time has passed, if a canary may be sent; returns whether it did.
     pub(super) fn renew(&mut self, options: &Options, now: Time) -> bool {
         let Stage::Quarantined {
             until: Some(until),
@@ -81,7 +82,7 @@
         true
     }
 
-    /// Notes a server that ended; says whether others should be told.
+    /// Records a server that ended; returns whether other hosts should be informed.
     pub(super) fn ended(
         &mut self,
         options: &Options,
@@ -112,12 +113,12 @@
         }
     }
 
-    /// Notes that it is clear; says whether it was not before.
+    /// Clears the request; returns whether it was suspect or quarantined before.
     pub(super) fn clear(&mut self, now: Time) -> bool {
         if self.stage == Stage::Open && self.ends.is_empty() {
             return false;
         }
-        // Nobody needs to know of a doubt that is over before it was told.
+        // Other hosts need not learn of a suspicion that ended before it was sent to them.
         let is_told = self.is_told;
         self.enter(self.generation.saturating_add(1), now);
         self.is_news = is_told;
@@ -137,7 +138,7 @@
         self.is_news
     }
 
-    /// Takes in what another host holds; says whether that changed anything.
+    /// Merges the record of another host; returns whether that changed anything.
     pub(super) fn hear(
         &mut self,
         options: &Options,
@@ -167,12 +168,12 @@
             self.latest = now;
         }
         self.is_news |= changed;
-        // Whoever told it knows it.
+        // The sender knows of this generation.
         self.is_told = true;
         changed
     }
 
-    /// Takes over another host's quarantine if more canaries were sent in it, or there is none here.
+    /// Adopts another host's quarantine if more canaries were sent in it, or if there is none here.
     fn hear_quarantine(&mut self, until: Option<Time>, trials: u32) -> bool {
         let is_known = match self.stage {
             Stage::Quarantined { trials: own, .. } => own >= trials,
@@ -184,7 +185,7 @@
         !is_known
     }
 
-    /// Whether others should be told; they are from now on.
+    /// Takes the flag that the record has unsent changes; the caller sends them.
     pub(super) fn take_news(&mut self) -> bool {
         let is_news = std::mem::replace(&mut self.is_news, false);
         self.is_told |= is_news;
@@ -210,12 +211,12 @@
         }
     }
 
-    /// Whether it can be forgotten.
+    /// Whether the record can be forgotten.
     pub(super) fn is_over(&self, options: &Options, now: Time) -> bool {
         self.stage == Stage::Open && now >= self.latest + options.memory
     }
 
-    /// Orders records by what would be lost with them.
+    /// Eviction order: the record with the lowest value is removed first.
     pub(super) fn worth(&self) -> (u8, Time) {
         let rank = match self.stage {
             Stage::Open if self.ends.is_empty() => 0,
@@ -230,7 +231,7 @@
     until.map_or(FOREVER, |until| until.saturating_sub(now))
 }
 
-/// Adds processes that are not among `known`, up to `most`; says whether there were any.
+/// Adds processes that are not among `known`, up to `most` in total; returns whether any was added.
 fn add(known: &mut Vec<ProcessId>, processes: &[ProcessId], most: usize) -> bool {
     let before = known.len();
     for process in processes {
