--- a/crates/lentillift-fleet/tests/common/mod.rs
+++ b/crates/lentillift-fleet/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Fakes at the seams of a process's part in the fleet: clock, links, configuration service.
+//! Simulation of a fleet: fake clock, links and configuration service around the state machine of
+//! each process.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -31,20 +32,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that anything takes from one process to another.
+/// Time that any message takes from one process to another.
 pub const DELAY: Duration = Duration::from_micros(500);
 
 /// Wall-clock time at the start.
 const WALL: Duration = Duration::from_secs(1_700_000_000);
 
-/// What is due at some time.
+/// Scheduled event.
 enum Due {
     Tick(id::Host, id::Incarnation),
     Packet(SocketAddr, Vec<u8>),
     Message(id::Host, id::Host, sync::Message),
     Index(id::Host, id::Incarnation, Option<Index>),
     Value(id::Host, id::Incarnation, Key, Option<Vec<u8>>),
-    /// A watch whose time is over.
+    /// A watch reached its longest wait.
     Expired(u64),
 }
 
@@ -61,9 +62,9 @@
     pub address: SocketAddr,
     pub incarnation: id::Incarnation,
     pub ready: bool,
-    /// Highest revision of the configuration that was in force, in any process of the host.
+    /// Notes of the process, with the time of each.
     pub notes: Vec<(Time, String)>,
-    /// What arrives before this time waits until then.
+    /// Events before this time are delivered at this time.
     paused: Time,
     pub packets: u64,
     pub bytes: u64,
@@ -79,12 +80,12 @@
     pub nodes: BTreeMap<id::Host, Node>,
     pub homes: BTreeMap<SocketAddr, id::Host>,
     pub platform: Platform,
-    /// What the service tells some hosts instead of what it holds.
+    /// Old copies that the service returns to some hosts.
     pub stale: BTreeMap<id::Host, Platform>,
     /// Hosts that the service does not answer.
     pub unserved: BTreeSet<id::Host>,
     waiting: BTreeMap<u64, (id::Host, id::Incarnation, u64)>,
-    /// Directed pairs of hosts between which nothing passes.
+    /// Directed pairs of hosts between which no message passes.
     pub cut: BTreeSet<(id::Host, id::Host)>,
     /// Time that a message over a link takes.
     pub link_delay: Duration,
@@ -140,7 +141,7 @@
         self.starts += 1;
         let host = host(number);
         let address = address(port);
-        // Like the wall-clock time in nanoseconds, which a start takes.
+        // Like the wall-clock time in nanoseconds, from which a real process takes it.
         let incarnation = WALL.as_nanos() as u64 + 1000 * self.starts;
         let me = Member {
             host: host.clone(),
@@ -177,7 +178,7 @@
         self.push(self.now + offset, Due::Tick(host, incarnation));
     }
 
-    /// Ends a process at once, without a word to anybody.
+    /// Ends a process at once, without any announcement.
     pub fn kill(&mut self, number: usize) {
         let host = host(number);
         self.nodes.remove(&host);
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Cuts all ways from the hosts of one group to those of another.
+    /// Drops all messages from the hosts of one group to those of another.
     pub fn cut(&mut self, from: &[usize], to: &[usize]) {
         for from in from {
             for to in to {
@@ -251,14 +252,14 @@
         self.queue.insert((at, self.next), due);
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         self.run_until(until, |_| false);
         self.now = until;
     }
 
-    /// Lets time pass until `done`; returns how long that took, if it came about in `time`.
+    /// Advances time until `done`; returns how long that took, if it happened within `time`.
     pub fn wait<F>(&mut self, time: Duration, done: F) -> Option<Duration>
     where
         F: Fn(&Self) -> bool,
@@ -281,7 +282,7 @@
             };
             self.now = at;
             self.deliver(due);
-            // The state is looked at every 10 ms.
+            // The condition is checked every 10 ms.
             if at >= checked {
                 checked = at + Duration::from_millis(10);
                 if done(self) {
@@ -339,7 +340,7 @@
         self.handle(&host, event);
     }
 
-    /// Gives an event to a process and does what it wants done.
+    /// Passes an event to a process and carries out its actions.
     pub fn handle(&mut self, host: &id::Host, event: Event) {
         let Some(node) = self.nodes.get_mut(host) else {
             return;
@@ -483,7 +484,7 @@
         })
     }
 
-    /// Whether every process is ready and holds exactly the running ones for alive.
+    /// Whether every process is ready and considers exactly the running ones alive.
     pub fn settled(&self) -> bool {
         let names: Vec<&id::Host> = self.nodes.keys().collect();
         self.nodes.values().all(|node| {
--- a/crates/lentillift-fleet/tests/common/table.rs
+++ b/crates/lentillift-fleet/tests/common/table.rs
@@ -1,6 +1,6 @@
-//! The macro that names the cases of a fault table.
+//! Macro that turns the cases of a fault table into tests.
 
-/// Names each case of a table; all run over a fleet of their own.
+/// Turns each case into a test over a fleet of its own. The length of the case's name is the seed.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident($net:ident) $body:block)+) => {
         $(
--- a/crates/lentillift-fleet/tests/faults.rs
+++ b/crates/lentillift-fleet/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults among hosts, over fake links, clock and configuration service.
+//! Faults of hosts and of the network, with simulated links, clock and configuration service.
 
 mod common;
 #[macro_use]
@@ -16,7 +16,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Time within which everybody agrees again after any fault is over.
+/// Time within which all hosts agree again after any fault has ended.
 const HEAL: Duration = Duration::from_secs(30);
 
 /// A fleet that has started and is quiet.
@@ -34,15 +34,16 @@
     (0..20).filter(is_alive).collect()
 }
 
-/// How often any process suspected another.
+/// Number of suspicions that any process has noted.
 fn suspicions(net: &Net) -> usize {
     let notes = net.nodes.values().flat_map(|node| &node.notes);
     notes.filter(|(_, note)| note.contains("suspected")).count()
 }
 
 cases! {
-    /// A switch between two halves of the fleet fails for ten seconds. Each half would go on sending
-    /// work to hosts it can't reach, and after the repair the halves would never find each other.
+    /// A switch between two halves of the fleet fails for ten seconds. Each half would go on
+    /// sending work to hosts that it can't reach, and after the repair the halves would never
+    /// reconnect.
     halves_part_and_meet_again(net) {
         net.cut(&[0, 1, 2, 3], &[4, 5, 6, 7, 8]);
         net.cut(&[4, 5, 6, 7, 8], &[0, 1, 2, 3]);
@@ -54,7 +55,7 @@
     }
 
     /// Packets pass from one host to another and not back, as after a wrong route. The two would
-    /// hold each other for dead, and the backend servers of both would move for nothing.
+    /// consider each other dead, and the backend servers of both would move needlessly.
     one_bad_direction_condemns_nobody(net) {
         net.cut(&[0], &[1]);
         for _ in 0..60 {
@@ -65,7 +66,7 @@
     }
 
     /// A host loses its network. Callers that still have a connection to it would get answers from
-    /// a view that is minutes old, with work sent to servers that are out.
+    /// a view that is minutes old, with work sent to servers that are out of service.
     host_without_any_news_refuses(net) {
         let all: Vec<usize> = (0..HOSTS).collect();
         net.cut(&[3], &all);
@@ -82,8 +83,8 @@
         assert!(net.wait(HEAL, Net::settled).is_some());
     }
 
-    /// A whole failure domain loses its network. Its hosts are dropped; it must not take others with
-    /// it, and must come back by itself.
+    /// A whole failure domain loses its network. Its hosts are dropped; the fault must not affect
+    /// other hosts, and the domain must return without intervention.
     failure_domain_is_cut_and_returns(net) {
         let rest = [0, 2, 3, 4, 6, 7, 8];
         net.cut(&[1, 5], &rest);
@@ -94,7 +95,7 @@
         assert!(net.wait(HEAL, Net::settled).is_some());
     }
 
-    /// One packet in ten gets lost for two minutes. Hosts would be held for dead at random, and
+    /// One packet in ten gets lost for two minutes. Hosts would be considered dead at random, and
     /// their backend servers would move back and forth.
     lossy_links_condemn_nobody(net) {
         net.loss = 0.1;
@@ -105,7 +106,7 @@
     }
 
     /// A host dies and its replacement starts under the old name at a new address, before the
-    /// published list says so. Others would go on calling the old address.
+    /// published list contains it. Others would go on using the old address.
     host_is_replaced_at_a_new_address(net) {
         net.kill(4);
         net.run(SECOND);
@@ -115,15 +116,15 @@
         assert_eq!(known, address(50));
     }
 
-    /// A host that no list names yet starts and asks the addresses in its settings. It would stay
-    /// idle until the list catches up, which takes minutes on a bad day.
+    /// A host that is not published yet starts and contacts the seeds in its settings. It would
+    /// stay idle until the list catches up, which takes minutes on a bad day.
     host_joins_before_it_is_published(net) {
         net.start(9, 9);
         assert!(net.wait(SECOND * 5, Net::settled).is_some());
     }
 
-    /// A host left, and the published list still names it, in ever new revisions. It would be given
-    /// work again each time the list is published.
+    /// A host has left, and newer revisions of the published list still contain it. It would be
+    /// given work again each time the list is published.
     old_list_brings_no_host_back(net) {
         net.handle(&host(5), Event::Leave);
         net.handle(&host(5), Event::End);
@@ -135,8 +136,8 @@
         }
     }
 
-    /// A process leaves in good order. The others would go on giving it work until a probe fails,
-    /// and callers would see that work refused.
+    /// A process leaves in an orderly way. The others would go on giving it work until a probe
+    /// fails, and callers would see that work refused.
     leaving_is_known_at_once(net) {
         net.handle(&host(2), Event::Leave);
         assert!(!net.nodes[&host(2)].ready);
@@ -146,8 +147,8 @@
         assert!(known.is_some());
     }
 
-    /// A faulty host restarts ten times in a minute. Each time its old account might hold against
-    /// the new one, so that it stays out although it runs.
+    /// A faulty host restarts ten times in a minute. Each time its old record might win over the
+    /// new one, so that it stays out although it runs.
     ten_restarts_in_a_minute(net) {
         for _ in 0..10 {
             net.kill(6);
@@ -159,7 +160,7 @@
     }
 
     /// Operators replace half the fleet, one host after the other. At no time may the rest lose
-    /// their view, or the new ones start with less than what is in force.
+    /// their view, or the new hosts start with older values than those in force.
     half_the_fleet_is_replaced(net) {
         net.publish_config(7, &[], &[]);
         for number in 0..HOSTS / 2 {
@@ -174,8 +175,8 @@
         assert!(net.wait(HEAL, Net::settled).is_some());
     }
 
-    /// A process is stopped for ten seconds and wakes up with work at hand. It would send that work
-    /// by a view in which it owns backend servers that others have been given meanwhile.
+    /// A process is stopped for ten seconds and resumes with work at hand. It would send that work
+    /// by a view in which it owns backend servers that others now hold.
     paused_process_wakes_up_stale(net) {
         net.pause(7, SECOND * 10);
         net.run(SECOND * 2);
@@ -190,8 +191,8 @@
         assert!(net.wait(HEAL, Net::settled).is_some());
     }
 
-    /// Eight of nine hosts lose power at once and the last one still reads the service. It must go
-    /// on alone, and take the others back when they return.
+    /// Eight of nine hosts lose power at once and the last one still reads the service. It must
+    /// continue alone, and accept the others when they return.
     one_host_is_left(net) {
         for number in 1..HOSTS {
             net.kill(number);
@@ -206,8 +207,8 @@
     }
 }
 
-/// Two regions lose each other for three minutes. Each must go on with its own hosts, and both must
-/// be one fleet again when the link is back.
+/// Two regions lose contact for three minutes. Each must continue with its own hosts, and both must
+/// become one fleet again when the link is back.
 #[test]
 fn regions_part_for_minutes() {
     let mut net = Net::regions(5, 16, 2);
@@ -228,13 +229,14 @@
     assert!(net.wait(HEAL * 2, Net::settled).is_some());
 }
 
-/// Hosts hear none of their peers and still read the configuration service. Without calls of their
-/// own they would miss that operators take a failure domain out, or refuse everything.
+/// Hosts hear from none of their peers and still read the configuration service. Without calls of
+/// their own they would miss that operators take a failure domain out of service, or refuse
+/// everything.
 #[test]
 fn hosts_without_peers_read_the_service() {
     let mut net = Net::fleet(6, 40);
     assert!(net.wait(HEAL, Net::settled).is_some());
-    // All of one failure domain, of which some watch the service at present and most don't.
+    // All hosts of one failure domain, of which some watch the service at present and most don't.
     let all: Vec<usize> = (0..40).collect();
     let cut: Vec<usize> = (0..40).step_by(4).collect();
     net.cut(&cut, &all);
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Who learns from whom while hosts are cut off from each other, in virtual time.
+//! Choice of origins while hosts are cut off from each other, in virtual time.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time in which membership finds that a host does not answer.
+/// Time in which membership detects that a host does not answer.
 const DETECTION: Duration = Duration::from_millis(1500);
 
 const TICK: Duration = Duration::from_millis(20);
@@ -27,7 +27,7 @@
 const BOUND: Duration = Duration::from_secs(3);
 const OPTIONS: Options = Options { bound: BOUND };
 
-/// What a host is busy with.
+/// Current activity of a host.
 #[derive(Debug, Clone)]
 enum Task {
     Search {
@@ -60,25 +60,26 @@
     steady: bool,
     proved: Option<Time>,
     revision: u64,
-    /// Rises whenever followers are told something at once.
+    /// Increases whenever followers are informed at once.
     changed: u64,
 }
 
-/// A fleet, what is published, and who can't reach whom.
+/// A fleet, the published revision, and the faults of the network.
 #[derive(Debug)]
 struct World {
     now: Time,
     nodes: Vec<Node>,
     revision: u64,
-    /// Group of hosts; hosts of different groups can't reach each other.
+    /// Group of each host; hosts of different groups can't reach each other.
     group: Vec<u8>,
-    /// Since when two hosts have not reached each other.
+    /// When two hosts were cut off from each other.
     cut_since: BTreeMap<(usize, usize), Time>,
-    /// Hosts that the service turns away.
+    /// Whether the service turns a host away.
     turned_away: Vec<bool>,
-    /// How many steps of a ring there were, summed over time.
+    /// Number of ticks in which some hosts followed each other in a ring.
     rings: u64,
-    /// How many origins were left since the start because what they told could not be relied on.
+    /// Number of times that an origin was left because it failed or its data could not be relied
+    /// on.
     failed: u64,
 }
 
@@ -90,7 +91,8 @@
                 domain: (*domain).into(),
             })
         });
-        // Hosts start one after the other, so that each tells its followers at moments of its own.
+        // Hosts start one after the other, so that each sends to its followers at different
+        // moments.
         let start = |place: usize| OPTIONS.heartbeat().mul_f64(place as f64 * 0.37 % 1.0);
         let node = |(place, me): (usize, Candidate)| Node {
             me,
@@ -122,7 +124,7 @@
         self.group[a] == self.group[b]
     }
 
-    /// Cuts groups of hosts off from each other, and has the service turn some away.
+    /// Cuts groups of hosts off from each other, and lets the service turn some away.
     fn cut(&mut self, groups: Vec<u8>, turned_away: Vec<bool>) {
         self.group = groups;
         self.turned_away = turned_away;
@@ -245,7 +247,7 @@
         let state = &mut self.nodes[node];
         let way = RelayPath::reader(&state.me.host);
         let is_quiet = state.revision == revision;
-        // A watch returns with each change, and else after its time.
+        // A watch returns at each change, and otherwise after its time.
         let returned = state
             .proved
             .is_none_or(|proved| !is_quiet || now >= proved + OPTIONS.watch());
@@ -287,7 +289,7 @@
         }
     }
 
-    /// One message of `host` reaches `node`.
+    /// One message of `host` arrives at `node`.
     fn hear(&mut self, node: usize, host: usize, until: Option<Time>) {
         let teller = &self.nodes[host];
         let origin = Origin::Host(teller.me.host.clone());
@@ -337,14 +339,14 @@
         })
     }
 
-    /// The largest age of any host's knowledge.
+    /// Largest age of any host's data.
     fn oldest(&self) -> Duration {
         let proved = self.nodes.iter().map(|node| node.proved);
         let first = proved.min().flatten().unwrap_or(Time::ZERO);
         self.now.saturating_sub(first)
     }
 
-    /// The largest age of what those know whom the service does not turn away.
+    /// Largest age of the data of hosts that the service does not turn away.
     fn oldest_that_can_read(&self) -> Duration {
         let nodes = self.nodes.iter().zip(&self.turned_away);
         let proved = nodes
@@ -354,7 +356,7 @@
         self.now.saturating_sub(first)
     }
 
-    /// Hosts that don't know what is published though they reach the service, or a host that does.
+    /// Hosts without the published revision although they reach the service, or a host that does.
     fn behind(&self) -> Vec<&str> {
         let hosts = 0..self.nodes.len();
         let can = |node: usize| {
@@ -368,9 +370,9 @@
     }
 }
 
-/// Two of four failure domains are cut off from the others, just when the service turns some hosts away.
-/// Hosts of the two take each other for origins, and callers there would be answered by an old
-/// configuration for seconds after it was replaced, and longer than the bound allows.
+/// Two of four failure domains are cut off from the others, just when the service turns some hosts
+/// away. Hosts of the two would choose each other as origins, and callers there would be answered
+/// by a replaced configuration for seconds, longer than the bound allows.
 #[test]
 fn cut_off_domains_do_not_follow_each_other_in_a_ring() {
     for turned_away in 0..16_usize {
@@ -389,8 +391,9 @@
     }
 }
 
-/// Knowledge that passes several hosts, each of which tells it with the next message that is due, is too
-/// old at the last ones. They would leave origins that are well, and ask others for the same.
+/// Data that is relayed by several hosts, each of which sends it with the next message that is due,
+/// is too old at the last ones. They would leave working origins and request the same data from
+/// others.
 #[test]
 fn no_origin_is_left_in_a_fleet_that_is_well() {
     for each in [3, 23, 40] {
@@ -404,15 +407,16 @@
             oldest = oldest.max(world.oldest());
         }
         assert_eq!(world.failed, before, "with {each} a failure domain");
-        // What is beyond that before an origin is left is for a slow service.
+        // The remaining time until an origin is left is for a slow service.
         let allowed = OPTIONS.watch() + OPTIONS.heartbeat();
         assert!(oldest < allowed, "{oldest:?} with {each} a failure domain");
     }
 }
 
-/// A change has just come, over a link that was busy with it, and nothing changes after that. If the service
-/// holds the next watch for its whole time, what the reader knows is too old before it returns; all hosts
-/// leave origins that are well at the same moment, and some read the service themselves.
+/// A change has just arrived, over a link that was busy with it, and nothing changes after that. If
+/// the service held the next watch for its whole time, the reader's data would be too old before
+/// the watch returns; all hosts would leave working origins at the same moment, and some would read
+/// the service themselves.
 #[test]
 fn knowledge_is_proved_again_in_time_after_a_change() {
     let ages = [0, 1, 5, 10].map(|parts| OPTIONS.slack() * parts / 10);
@@ -424,8 +428,9 @@
     assert_eq!(OPTIONS.next_watch(Duration::ZERO), OPTIONS.watch());
 }
 
-/// A burst of requests waits in the sockets of a host that stood still. Those that it answers before it has heard
-/// the news go by what was replaced; those that it holds while nobody can know more wait for nothing.
+/// A burst of requests waits in the sockets of a host that was paused. Those answered before the
+/// host has received the updates would use replaced data; those held back while the service is
+/// unavailable would wait for nothing.
 macro_rules! admits {
     ($($name:ident: $age:expr, $away:expr => $admission:expr;)*) => {$(
         #[test]
@@ -445,7 +450,7 @@
     old_knowledge_waits_once_the_service_is_back: 60_000, Some(3001) => Admission::Await(OPTIONS.frame_timeout());
 }
 
-/// A host loses its origin when there is no time left for a vain try of another host.
+/// A host loses its origin when no time is left for a failed attempt at another host.
 macro_rules! hurries {
     ($($name:ident: $age:expr => $urgency:expr;)*) => {$(
         #[test]
@@ -461,10 +466,10 @@
     there_is_no_time_for_a_vain_try: Some(OPTIONS.max_age() - OPTIONS.open_timeout() + TICK) => Urgency::High;
 }
 
-/// What is published goes from host to host over their links. When one host sent a copy to each of its
-/// failure domain, the last waited for as many copies as there are hosts: callers there were answered by a
-/// configuration that had been replaced seconds before. Metrics showed the links of these hosts full while
-/// those of all others were idle.
+/// Published data is forwarded from host to host. When one host sent a copy to each host of its
+/// failure domain, the last waited for as many copies as there are hosts: callers there were
+/// answered by a configuration that had been replaced seconds before. Metrics showed the links of
+/// the sending hosts full while all others were idle.
 #[test]
 fn nobody_is_followed_by_more_than_a_few() {
     for each in [1, 2, 3, 15, 23, 95] {
@@ -494,7 +499,7 @@
     );
 }
 
-/// The hosts of a ranking's middle are cut off, on whom most others depend.
+/// Hosts in the middle of the ranking, on which most others depend, are cut off.
 #[test]
 fn hosts_below_those_that_are_cut_off_find_another_way() {
     for seed in 0..4 {
@@ -512,7 +517,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// As below, with failure domains in which news passes several hosts.
+    /// As the next test, with failure domains in which updates pass several hosts.
     #[test]
     fn whoever_can_know_does_within_the_bound_also_over_relays(
         groups in prop::collection::vec(0u8..3, 56),
@@ -527,9 +532,9 @@
 }
 
 proptest! {
-    /// Hosts are cut off from each other in any way and turned away by the service in any combination,
-    /// twice in a row. Within the bound every host that can know what is published does, and rings last
-    /// no longer than it takes to hear of them.
+    /// Hosts are cut off from each other in any way and turned away by the service in any
+    /// combination, twice in a row. Within the bound every host that can obtain the published
+    /// revision has it, and rings last no longer than messages need to reveal them.
     #[test]
     fn whoever_can_know_what_is_published_does_within_the_bound(
         first in prop::collection::vec((0u8..3, prop::bool::weighted(0.25)), 12),
@@ -544,7 +549,7 @@
             world.run(pause);
         }
         prop_assert_eq!(world.behind(), Vec::<&str>::new());
-        // A tick shows a ring for as long as messages need to go round once.
+        // A ring shows in as many ticks as messages need to go round once.
         prop_assert!(world.rings < 40, "rings in {} ticks", world.rings);
     }
 }
@@ -552,8 +557,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Hosts are cut off from each other in any way, and some are turned away by the service. One that reaches the
-    /// service tried hosts that are silent while its knowledge got older than the bound, and asked the service last.
+    /// Hosts are cut off from each other in any way, and some are turned away by the service. A
+    /// host that reaches the service tried silent hosts while its data got older than the bound,
+    /// and tried the service last.
     #[test]
     fn whoever_reaches_the_service_asks_it_in_time(
         groups in prop::collection::vec(0u8..4, 28),
@@ -566,7 +572,7 @@
         while world.now < end {
             world.run(TICK);
             let oldest = world.oldest_that_can_read();
-            // An origin is left when its knowledge is too old, or with the next message.
+            // An origin is left when its data is too old, or with the next message.
             let allowed = OPTIONS.max_age() + OPTIONS.heartbeat();
             prop_assert!(oldest <= allowed, "{oldest:?}");
         }
--- a/crates/lentillift-fleet/tests/freshness.rs
+++ b/crates/lentillift-fleet/tests/freshness.rs
@@ -1,13 +1,13 @@
-//! When a process may act on what it knows.
+//! When a process may act on its state.
 
 use lentillift_fleet::freshness::Freshness;
 use lentillift_fleet::freshness::Options;
 use std::time::Duration;
 
-/// What happens to a process, at a time in milliseconds.
+/// Event at a process, at a time in milliseconds.
 enum Step {
     Tick(u64),
-    /// A question that was sent at this time is answered.
+    /// A request that was sent at this time is answered.
     Answer(u64),
 }
 
@@ -28,7 +28,7 @@
     Duration::from_millis(now) < freshness.until()
 }
 
-/// Names each case of the table.
+/// Turns each case into a test.
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident: $steps:expr, $now:expr => $fresh:expr;)+) => {
         $(
@@ -42,24 +42,24 @@
 }
 
 cases! {
-    /// It has just started and has reached nobody yet.
+    /// The process has just started and has reached nobody yet.
     nothing_is_proved_at_the_start: [Tick(100)], 150 => false;
 
     answer_proves: [Tick(100), Answer(100), Tick(200)], 250 => true;
 
-    /// It was stopped and wakes up. Work at hand is looked at before anything else runs.
+    /// The process was stopped and resumes. Work at hand is handled before anything else runs.
     pause_is_seen_before_any_tick: [Tick(100), Answer(100), Tick(200)], 1300 => false;
 
-    /// It was stopped, and an answer from before the pause waited in its socket meanwhile. The answer
-    /// tells nothing of what happened during the pause.
+    /// The process was stopped, and an answer from before the pause waited in its socket meanwhile.
+    /// The answer says nothing about what happened during the pause.
     old_answer_proves_nothing: [Tick(100), Tick(1500), Answer(100)], 1550 => false;
 
-    /// The same with an answer that had been heard before the pause.
+    /// The same with an answer that was received before the pause.
     earlier_answer_proves_nothing: [Tick(100), Answer(100), Tick(1500)], 1550 => false;
 
     question_after_the_pause_proves: [Tick(100), Tick(1500), Answer(1500)], 1550 => true;
 
-    /// It runs on and hears nobody for three seconds.
+    /// The process runs and receives no answer for three seconds.
     silence_ends_it: [
         Tick(100), Answer(100), Tick(900), Tick(1700), Tick(2500), Tick(3050),
     ], 3150 => false;
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -1,4 +1,4 @@
-//! Which hosts are the guardians of a backend server.
+//! Choice of the guardians of a backend server.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -59,9 +59,9 @@
     entries.map(|entry| entry.domain.to_string()).collect()
 }
 
-/// Two regions lose each other for minutes. A backend server whose guardians sit mostly in the
-/// other one would get no work from anybody, and its shard would be missing from answers that the
-/// region could have given whole.
+/// Two regions lose contact for minutes. A backend server with most of its guardians in the other
+/// region would get no work from anybody, and its shard would be missing from answers that the
+/// region could have given completely.
 #[test]
 fn guardians_are_in_the_region_of_their_backend_server() {
     let roster = roster(&DOMAINS);
@@ -74,7 +74,7 @@
     }
 }
 
-/// A fleet of one region names none. Then all domains are at home together.
+/// A fleet of one region names no regions. Then all domains count as the same region.
 #[test]
 fn without_regions_all_domains_guard() {
     let roster = roster(&[]);
@@ -82,9 +82,10 @@
     assert_eq!(chosen.collect::<BTreeSet<_>>().len(), DOMAINS.len());
 }
 
-/// A host restarts. Others took its backend servers over, which it can't know yet, and all processes
-/// ask it first because it is alive again. Sent back without a name, the shards would be missing from
-/// answers until it holds the servers itself, three seconds at each restart.
+/// A host restarts. Others took over its backend servers, which it can't know yet, and all
+/// processes ask it first because it is alive again. If it refused without naming a host, the
+/// shards would be missing from answers until it holds the servers itself, three seconds at each
+/// restart.
 #[test]
 fn a_new_process_names_the_next_guardian() {
     let roster = roster(&[]);
--- a/crates/lentillift-fleet/tests/lease/main.rs
+++ b/crates/lentillift-fleet/tests/lease/main.rs
@@ -1,4 +1,4 @@
-//! Leases keep the sum of requests under way within a backend server's limit.
+//! Leases keep the sum of requests in flight within a backend server's limit.
 
 mod model;
 
@@ -6,10 +6,10 @@
 use model::Scope;
 use model::explore;
 
-/// Guardians that stay the same.
+/// Host lists with the same guardians.
 const SAME: &[&[usize]] = &[&[0, 1, 2]];
 
-/// One guardian is replaced.
+/// Host lists between which one guardian is replaced.
 const ONE: &[&[usize]] = &[&[0, 1, 2], &[0, 1, 3]];
 
 const BASE: Scope = Scope {
@@ -23,7 +23,7 @@
     settle: 100,
 };
 
-/// Walks through a scope and wants every state within the limit.
+/// Explores a scope and asserts that no state exceeds the limit.
 macro_rules! safe {
     ($(#[$doc:meta])* $name:ident, $scope:expr) => {
         $(#[$doc])*
@@ -38,8 +38,8 @@
 
 #[test]
 fn own_view_alone_breaks_the_limit() {
-    // Two processes hold different hosts to be alive, as after any loss of a message, and each finds
-    // itself to be the owner. A cold server gets two requests at once and falls over.
+    // Two processes consider different hosts alive, as after any loss of a message, and each
+    // considers itself the owner. A cold server gets two requests at once and is overloaded.
     let scope = Scope {
         rule: Rule::View,
         ..BASE
@@ -49,14 +49,14 @@
 }
 
 safe!(
-    /// Claims and grants are lost, late, doubled and overtaken, and a candidate may pause between
-    /// any two steps. A user of a cold server would notice a second owner by failed searches.
+    /// Claims and grants are lost, delayed, duplicated and reordered, and a candidate may pause
+    /// between any two steps. A second owner of a cold server would show as failed searches.
     loss_delay_and_pause,
     BASE
 );
 
 safe!(
-    /// A guardian or a holder restarts and forgets what it granted while the grant is in use.
+    /// A guardian or a holder restarts and loses its grants while a grant is in use.
     restart,
     Scope {
         restarts: 1,
@@ -66,7 +66,8 @@
 );
 
 safe!(
-    /// Two hosts restart at once, a guardian among them, and messages from before arrive after.
+    /// Two hosts restart at once, a guardian among them, and messages from before the restart
+    /// arrive after it.
     two_restarts,
     Scope {
         restarts: 2,
@@ -76,7 +77,7 @@
 );
 
 safe!(
-    /// A holder hands over with a request under way; the message is lost, late or doubled.
+    /// A holder hands over with a request in flight; the message is lost, delayed or duplicated.
     hand_over,
     Scope {
         hand_overs: 1,
@@ -86,8 +87,9 @@
 );
 
 safe!(
-    /// One guardian is replaced, and one candidate goes by the newer host list while the other does
-    /// not hear of it. Both would hold the same server if each asked only the guardians it knows.
+    /// One guardian is replaced, and one candidate uses the newer host list while the other has not
+    /// received it. Both would hold the same server if each claimed only from the guardians that it
+    /// knows.
     stale_list,
     Scope {
         lists: ONE,
@@ -96,7 +98,7 @@
     }
 );
 
-/// The same with more time and more claims; minutes in a release build.
+/// Deeper scopes, with more time and more claims; minutes in a release build.
 macro_rules! deep {
     ($name:ident, $scope:expr) => {
         #[test]
--- a/crates/lentillift-fleet/tests/lease/model.rs
+++ b/crates/lentillift-fleet/tests/lease/model.rs
@@ -1,10 +1,12 @@
-//! A small world of guardians and candidates whose every course of events is walked through.
+//! Model checker for leases: explores every sequence of events among a few guardians and
+//! candidates.
 //!
-//! Claims stay in the network for good: a claim may be lost, late, doubled or overtaken, because it
-//! may be delivered never, at any later time, or again. A grant's way back is quick: one that is slow
-//! or lost gives its candidate less, since it counts from the sending, and blocks others as much.
-//! A candidate that may send always has the whole limit under way, each request for as long as its
-//! lease lasts: whoever breaks the limit with less also breaks it with this.
+//! Claims stay in the network for good: a claim may be lost, delayed, duplicated or reordered,
+//! because it may be delivered never, at any later time, or again. A grant's reply arrives at once:
+//! one that is slow or lost gives its candidate less, since the grant counts from the sending of
+//! the claim, and blocks others as much. A candidate that may send always has the whole limit in
+//! flight, each request for as long as its lease lasts: any sequence that exceeds the limit with
+//! fewer requests also exceeds it with these.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -24,41 +26,41 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Length of one step of time.
+/// Length of one time step.
 const STEP: Duration = Duration::from_secs(1);
 
-/// Names of the hosts; the first two want to send.
+/// Names of the hosts; the first two are candidates.
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Hosts that want to send.
+/// Number of hosts that claim the backend server.
 const CANDIDATES: usize = 2;
 
-/// Who may send.
+/// Rule that decides who may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Rule {
-    /// Whoever ranks first among the hosts that it holds to be alive.
+    /// The host that ranks first among the hosts that it considers alive.
     View,
-    /// Whoever has a lease.
+    /// The host that has a lease.
     Lease,
 }
 
-/// What may happen, and how often.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Scope {
     pub(crate) rule: Rule,
-    /// Steps that a grant lasts.
+    /// Duration of a grant, in time steps.
     pub(crate) term: u32,
-    /// Steps of time.
+    /// Number of time steps.
     pub(crate) steps: u32,
-    /// Rounds of claims, by all candidates together.
+    /// Number of rounds of claims, by all candidates together.
     pub(crate) claims: u32,
-    /// Restarts of a host.
+    /// Number of restarts of a host.
     pub(crate) restarts: u32,
-    /// Hand-overs.
+    /// Number of hand-overs.
     pub(crate) hand_overs: u32,
-    /// Guardians by each revision of the host list, as bits.
+    /// Guardians under each revision of the host list, as indices into [`HOSTS`].
     pub(crate) lists: &'static [&'static [usize]],
-    /// Steps after which a candidate stops to ask guardians that left the list.
+    /// Time steps after which a candidate no longer sends claims to guardians that left the list.
     pub(crate) settle: u32,
 }
 
@@ -76,9 +78,9 @@
     quorum: Quorum,
     lease: Option<Lease>,
     ceded_by: Option<Holder>,
-    /// When the last request taken over from another holder is over.
+    /// When the last request taken over from another holder ends.
     inherited: Time,
-    /// When the last request of its own is over.
+    /// When the last request of its own ends.
     busy: Time,
 }
 
@@ -88,19 +90,19 @@
     registers: Vec<Register>,
     candidates: Vec<Candidate>,
     sent: BTreeSet<Sent>,
-    /// When requests of earlier incarnations are over.
+    /// When requests of earlier incarnations end.
     orphans: Vec<Time>,
     claims: u32,
     restarts: u32,
     hand_overs: u32,
 }
 
-/// What came of walking through a scope.
+/// Result of an exploration.
 #[derive(Debug)]
 pub(crate) struct Finding {
-    /// Different states that were seen.
+    /// Number of distinct states.
     pub(crate) states: usize,
-    /// The steps to the first state with more requests under way than the limit.
+    /// Steps to the first state with more requests in flight than the limit.
     pub(crate) violation: Option<Vec<String>>,
 }
 
@@ -126,10 +128,10 @@
     hasher.finish()
 }
 
-/// Walks through all that can happen within `scope`, nearest first.
+/// Explores all that can happen within `scope`, breadth first.
 pub(crate) fn explore(scope: &Scope) -> Finding {
     let first = start(scope);
-    // Parents by hash, so that a trace can be told without keeping whole states twice.
+    // Parents by hash, so that a trace can be built without keeping whole states twice.
     let mut seen: HashMap<u64, (u64, String)> = HashMap::new();
     seen.insert(hash(&first), (0, String::new()));
     let mut queue = VecDeque::from([first]);
@@ -166,7 +168,7 @@
     steps
 }
 
-/// All guardians have run for longer than a term, and nobody holds anything.
+/// Initial state: all guardians have run for longer than a term, and nobody holds anything.
 fn start(scope: &Scope) -> State {
     let term = STEP * scope.term;
     let register = Register::new(Time::ZERO, grant::Options { term });
@@ -214,7 +216,7 @@
         next
     }
 
-    /// How many full limits are under way at the backend server.
+    /// Number of full limits in flight at the backend server.
     fn busy(&self) -> usize {
         let own = self.candidates.iter().map(|candidate| &candidate.busy);
         let all = own.chain(&self.orphans);
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Two views of who is alive differ, and each has its own process in front.
+    /// Two views of who is alive differ, and each ranks its own process first.
     fn sees_itself_first(&self, scope: &Scope, who: usize) -> Option<(String, Self)> {
         let mut next = self.clone();
         next.candidates[who].busy = self.now + STEP * scope.term;
@@ -248,7 +250,7 @@
         next.now += STEP;
         let now = next.now;
         next.orphans.retain(|until| *until > now);
-        // A claim that is older can still stand in another's way and win nothing for its sender.
+        // An older claim can still block another candidate and gains its sender nothing.
         let oldest = now.saturating_sub(STEP * (scope.term + 1));
         next.sent.retain(|sent| match sent {
             Sent::Claim(_, _, at, _) => *at >= oldest,
@@ -263,7 +265,7 @@
             if candidate.inherited <= now {
                 candidate.inherited = Time::ZERO;
             }
-            // One that has run out is given up, as the daemon does.
+            // A lease that has expired is given up, as the daemon does.
             let over = |lease: &Lease| !lease.is_new() && lease.until(&candidate.quorum) <= now;
             if candidate.lease.as_ref().is_some_and(over) {
                 candidate.lease = None;
@@ -384,7 +386,7 @@
         Some((format!("{} hands over {left:?}", HOSTS[who]), next))
     }
 
-    /// A process loses all that it knew; what it sent goes on at the backend server.
+    /// A process loses its state; what it sent continues at the backend server.
     fn restart(&self, scope: &Scope, host: usize) -> Option<(String, Self)> {
         let mut next = self.clone();
         next.restarts = next.restarts.checked_sub(1)?;
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -1,4 +1,4 @@
-//! How old hosts take their knowledge for, over ways that are late, in virtual time.
+//! Age that hosts compute for their data over delayed connections, in virtual time.
 
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Options;
@@ -16,28 +16,29 @@
     bound: Duration::from_secs(3),
 };
 
-/// A message on its way, and when it arrives.
+/// Messages in transit, each with the time at which it arrives.
 type Flight<T> = VecDeque<(Time, T)>;
 
-/// What an origin tells.
+/// Message of an origin to its follower.
 #[derive(Debug, Clone, Copy)]
 struct Frame {
     answers: PollNumber,
     age: Duration,
-    /// Time up to which the origin knew everything, which no host is told.
+    /// Time up to which the origin's data was really complete. No host is sent this; the test
+    /// compares with it.
     complete: Time,
 }
 
-/// A host and its way to its origin.
+/// A host and the connection to its origin.
 #[derive(Debug)]
 struct Host {
     questions: Polls,
     next_question: Time,
-    /// What it holds for the time up to which it knows everything.
+    /// Time up to which the host considers its data complete.
     proved: Time,
-    /// What that time is in truth.
+    /// Time up to which its data is really complete.
     complete: Time,
-    /// The last question of its follower that has arrived.
+    /// Last poll of this host that has arrived at its origin.
     asked: PollNumber,
     there: Flight<PollNumber>,
     back: Flight<Frame>,
@@ -48,9 +49,9 @@
 struct Chain {
     now: Time,
     hosts: Vec<Host>,
-    /// When the watch of the first host was asked for.
+    /// When the first host requested its current watch.
     watched: Time,
-    /// How late messages are: those on a way take turns.
+    /// Delays of messages, used in turn.
     delays: Vec<Duration>,
     sent: usize,
 }
@@ -75,7 +76,8 @@
         }
     }
 
-    /// When a message arrives that leaves now behind those of a way: none overtakes another.
+    /// When a message arrives that is sent now on a connection: messages do not overtake each
+    /// other.
     fn arrival<T>(&mut self, host: usize, way: fn(&Host) -> &Flight<T>) -> Time {
         let delay = self.delays[self.sent % self.delays.len()];
         self.sent += 1;
@@ -108,7 +110,8 @@
         }
     }
 
-    /// The first host's watch returns when it has been held for its time and the answer has arrived.
+    /// The first host's watch returns once it has been held for its time and the answer has
+    /// arrived.
     fn read(&mut self) {
         let wait = OPTIONS.watch();
         let late = self.delays[0];
@@ -132,7 +135,7 @@
         self.hosts[host].there.push_back((due, number));
     }
 
-    /// Has the origin of `host` tell it something.
+    /// Lets the origin of `host` send it a frame.
     fn tell(&mut self, host: usize) {
         let due = self.arrival(host, |host| &host.back);
         let origin = &self.hosts[host - 1];
@@ -168,14 +171,15 @@
         }
     }
 
-    /// The largest age of any host's knowledge.
+    /// Largest age that any host computes for its data.
     fn oldest(&self) -> Duration {
         let proved = self.hosts.iter().map(|host| host.proved);
         self.now - proved.min().expect("a host")
     }
 }
 
-/// Ages that grow from hop to hop in a fleet that is well would have its last hosts leave origins that are well.
+/// Guards against ages that grow at each hop in a healthy fleet: its last hosts would leave working
+/// origins.
 macro_rules! no_origin_is_left {
     ($($name:ident: $hosts:expr, $delays:expr;)*) => {$(
         #[test]
@@ -229,7 +233,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Messages are late by any time, in any order of hosts. No host holds its knowledge for fresher than it is.
+    /// Messages are delayed by any time, at any hop. No host may consider its data fresher than it
+    /// is.
     #[test]
     fn knowledge_is_at_least_as_old_as_it_is_held_for(
         length in 2usize..7,
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is remembered of requests that end backend servers, at one host and between hosts.
+//! Records of requests that end backend servers, at one host and between hosts.
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
@@ -16,12 +16,12 @@
 const MS: Duration = Duration::from_millis(1);
 const NOON: Time = Duration::from_secs(1000);
 
-/// The content of a request for `path`.
+/// Fingerprint of a request for `path`.
 fn fingerprint(path: &str) -> Fingerprint {
     Fingerprint::of("GET", "search.example", path, &[])
 }
 
-/// Something that a table learns of the request `/fatal`.
+/// Event about the request `/fatal`.
 #[derive(Debug, Clone, Copy)]
 enum Event {
     /// A server ended under an ordinary send.
@@ -51,14 +51,14 @@
     }
 }
 
-/// A table that has learnt `events` at noon.
+/// A table after `events`, all at [`START`].
 fn table(events: &[Event]) -> Table {
     let mut table = Table::default();
     learn(&mut table, events, NOON);
     table
 }
 
-/// One that quarantined the request at noon.
+/// A table that quarantined the request at [`START`].
 fn quarantined() -> Table {
     table(&[Ends(1), CanaryEnds(2), CanaryEnds(3)])
 }
@@ -78,11 +78,12 @@
     an_unknown_request_is_served: [] => Admission::Serve,
     one_end_makes_it_suspect: [Ends(1)] => Admission::Canary,
     two_ends_are_not_enough: [Ends(1), CanaryEnds(2)] => Admission::Canary,
-    /// Servers that ended together may have ended for another reason, and the request was merely there.
+    /// Servers that ended together may have ended for another reason, with the request merely in
+    /// flight.
     ends_of_one_moment_are_not_enough: [Ends(1), Ends(2), Ends(3), Ends(4)] => Admission::Canary,
     /// A process that ends once breaks many connections.
     one_server_counts_once: [Ends(1), Ends(1), CanaryEnds(1), CanaryEnds(1)] => Admission::Canary,
-    /// The canary may have met the one of a request that does end servers.
+    /// The canary may have shared its server with that of a request that does end servers.
     one_canary_is_not_enough: [Ends(1), Ends(2), Ends(3), CanaryEnds(4)] => Admission::Canary,
     three_ends_two_of_them_under_canaries_quarantine_it:
         [Ends(1), CanaryEnds(2), CanaryEnds(3)] => Admission::Refuse(_),
@@ -93,7 +94,7 @@
     /// A popular search is in flight whenever servers end.
     what_was_answered_lately_needs_more:
         [Answered, Ends(1), CanaryEnds(2), CanaryEnds(3), CanaryEnds(4)] => Admission::Canary,
-    /// What was popular may end servers since a new version of the data came.
+    /// A popular request may end servers since a new version of the data was published.
     what_was_answered_lately_is_quarantined_too:
         [Answered, CanaryEnds(1), CanaryEnds(2), CanaryEnds(3), CanaryEnds(4)] => Admission::Refuse(_),
 }
@@ -107,7 +108,7 @@
     }
 }
 
-/// Fields that run into each other would give two requests one fingerprint.
+/// Without a separation of fields, two requests could have the same fingerprint.
 #[test]
 fn fields_do_not_run_into_each_other() {
     let one = Fingerprint::of("GET", "ab", "/c", b"d");
@@ -120,8 +121,8 @@
     assert!(others.iter().all(|other| *other != one));
 }
 
-/// A quarantine that never ends refuses a request that servers bear by now. One host sends one canary; the
-/// quarantine is renewed for all others before, and after the last canary it stays.
+/// A quarantine that never ended would refuse a request that servers can run by now. One host sends
+/// one canary; the quarantine is renewed for all others before, and after the last canary it stays.
 #[test]
 fn canaries_find_out_whether_a_quarantine_is_over() {
     let options = Options::default();
@@ -162,7 +163,7 @@
     }
 }
 
-/// A third host that has not heard of an operator's word tells of the quarantine once more.
+/// A third host that has not received the operator's lift sends the quarantine once more.
 #[test]
 fn late_news_does_not_bring_a_lifted_quarantine_back() {
     let options = Options::default();
@@ -180,8 +181,8 @@
     assert_eq!(table.verdict(fatal(), NOON + MS * 50), Verdict::Clear);
 }
 
-/// Messages take their time. A doubt and its end, each told to all, would follow each other round the hosts for ever
-/// if the one that comes later were held for the newer one.
+/// Messages are delayed. If a record that arrives later counted as newer, a suspicion and its end,
+/// each sent to all hosts, would circulate for ever.
 #[test]
 fn a_doubt_and_its_end_die_out() {
     let options = Options::default();
@@ -206,15 +207,15 @@
     }
 }
 
-/// Most doubts end within milliseconds; telling the fleet of each would be a message a host and request
-/// whenever a server ends.
+/// Most suspicions end within milliseconds; sending each to the fleet would be a message per host
+/// and request whenever a server ends.
 #[test]
 fn a_doubt_that_was_not_told_ends_without_a_word() {
     let mut table = table(&[Ends(1), Answered]);
     assert!(table.take_updates(NOON).is_empty());
 }
 
-/// A caller that sends thousands of different requests which end servers would take all memory.
+/// A caller that sends thousands of different requests which end servers would use up all memory.
 #[test]
 fn memory_is_bounded_and_quarantines_are_forgotten_last() {
     let options = Options {
@@ -254,8 +255,9 @@
 }
 
 proptest! {
-    /// Each host sees some of the ends and hears of the others, in any order and more than once. Hosts that
-    /// have heard everything treat the request alike, and as one that saw all of it.
+    /// Each host sees some of the ends and receives the others, in any order and more than once.
+    /// Hosts that have received everything treat the request alike, and as one host that saw all of
+    /// it.
     #[test]
     fn hosts_agree_once_they_have_heard_each_other(
         seen in prop::collection::vec(events(), 3),
@@ -277,7 +279,7 @@
         }
     }
 
-    /// What hosts tell each other never quarantines a request under which fewer servers ended than it takes.
+    /// Exchanged records never quarantine a request under which fewer servers ended than required.
     #[test]
     fn fewer_ends_never_quarantine(events in prop::collection::vec(0..2_u64, 0..20)) {
         let options = Options::default();
@@ -294,7 +296,7 @@
     }
 }
 
-/// What is told names no more processes than decide.
+/// Records that are sent contain no more processes than are needed to decide.
 #[test]
 fn accounts_are_small() {
     let ends: Vec<Event> = (0..50).map(Ends).collect();
--- a/crates/lentillift-fleet/tests/rendezvous.rs
+++ b/crates/lentillift-fleet/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! How many backend servers move when the hosts change.
+//! Number of backend servers that move when the hosts change.
 
 use lentillift_core::id;
 use lentillift_fleet::rendezvous;
@@ -19,7 +19,8 @@
     owners.collect()
 }
 
-/// Names each case: so many hosts, and the largest share of one host, in percent of the mean.
+/// Turns each case into a test: number of hosts, and the largest share of one host in percent of
+/// the mean.
 macro_rules! cases {
     ($($name:ident: $count:expr, $most:expr;)+) => {
         $(
@@ -50,7 +51,7 @@
         largest * 100 <= BACKENDS.div_ceil(count) * most,
         "{largest}"
     );
-    // One host goes: what it owned moves, and nothing else does.
+    // One host leaves: what it owned moves, and nothing else does.
     let rest: Vec<id::Host> = all[1..].to_vec();
     let after = owners(&rest);
     for (before, after) in before.iter().zip(&after) {
--- a/crates/lentillift-fleet/tests/revisions.rs
+++ b/crates/lentillift-fleet/tests/revisions.rs
@@ -27,8 +27,8 @@
 }
 
 cases! {
-    /// Operators take a failure domain out. Any host that hears of it late goes on giving its
-    /// hosts work.
+    /// Operators take a failure domain out of service. A host that learns of it late would go on
+    /// giving that domain's hosts work.
     failure_domain_goes_out_everywhere(net) {
         net.publish_config(2, &["d1"], &[]);
         let out = net.wait(SECOND * 3, |net| {
@@ -41,8 +41,8 @@
         assert!(net.wait(SECOND * 3, Net::settled).is_some());
     }
 
-    /// The service goes down, and then a process restarts. It would start without configuration,
-    /// or with one that is older than what the others have.
+    /// The service goes down, and then a process restarts. It would start without a configuration,
+    /// or with an older one than the others have.
     restart_while_the_service_is_down(net) {
         net.publish_config(5, &[], &[]);
         net.run(SECOND * 2);
@@ -57,8 +57,8 @@
         }
     }
 
-    /// The service answers some hosts with a copy from before the latest revision. Whoever restarts
-    /// there would bring the old one back.
+    /// The service answers some hosts with a copy from before the latest revision. A host that
+    /// restarts there would bring the old revision back.
     stale_service_for_some(net) {
         net.publish_config(4, &[], &[]);
         net.run(SECOND * 2);
@@ -69,7 +69,7 @@
         net.publish_config(6, &["d3"], &[]);
         net.run(SECOND * 3);
         assert!(net.in_force(6));
-        // Slow links, so that the service answers long before any peer has told what it knows.
+        // Slow links, so that the service answers long before any peer has sent its full state.
         net.link_delay = SECOND / 5;
         for number in [1, 2, 5, 6] {
             net.kill(number);
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Operators publish a configuration that is not valid. It would take every process down, or
-    /// leave them without one.
+    /// Operators publish an invalid configuration. It would stop every process, or leave processes
+    /// without a configuration.
     invalid_revision_is_refused_and_named(net) {
         let mut body = net.config(2, &["d1"], &[]);
         body.truncate(body.len() / 2);
@@ -99,14 +99,15 @@
         assert!(net.wait(SECOND * 5, |net| net.in_force(4)).is_some());
     }
 
-    /// One key can't be read or is not valid. Changes of all other keys would wait for it.
+    /// One key can't be read or has an invalid value. Changes of all other keys would wait for it.
     one_bad_key_keeps_no_other_back(net) {
         net.publish("hosts", b"{".to_vec());
         net.publish_config(2, &[], &[]);
         assert!(net.wait(SECOND * 3, |net| net.in_force(2)).is_some());
     }
 
-    /// Two operators publish within a moment of each other. Some hosts hear of the second first.
+    /// Two operators publish within a moment of each other, and some hosts receive the second
+    /// revision first.
     two_revisions_close_together(net) {
         net.publish_config(3, &["d1"], &[]);
         net.run(Duration::from_millis(1));
@@ -115,8 +116,9 @@
         assert!(net.in_force(3));
     }
 
-    /// Two operators publish different contents under one revision, and the service holds the one
-    /// here and the other there. Some hosts would keep the one and some the other for good.
+    /// Two operators publish different contents under one revision, and the service returns one to
+    /// some hosts and the other to the rest. Some hosts would keep one and some the other
+    /// permanently.
     one_revision_with_two_contents(net) {
         net.publish_config(2, &["d1"], &[]);
         let one = net.platform.clone();
@@ -132,11 +134,11 @@
     }
 }
 
-/// Everybody but one host is served an old copy, so that all watchers may be. The fleet must not
-/// wait for them for ever.
+/// All hosts but one are served an old copy, so all watchers may be. The fleet must not wait for
+/// the watchers for ever.
 #[test]
 fn one_reader_makes_up_for_stale_watchers() {
-    // All of one failure domain in turn, of which some watch the service and some don't.
+    // Hosts of one failure domain, of which some watch the service and some don't.
     for number in [0, 4, 8] {
         let mut net = fleet(7);
         let stale = net.platform.clone();
@@ -148,8 +150,8 @@
     }
 }
 
-/// A fleet of forty is quiet for a minute. Each process watching for itself would use up the
-/// service's calls as the fleet grows.
+/// A fleet of forty is quiet for a minute. If each process watched the service for itself, the
+/// service's call limit would be used up as the fleet grows.
 #[test]
 fn calls_stay_few() {
     let mut net = Net::fleet(9, 40);
@@ -158,11 +160,11 @@
     net.run(SECOND * 60);
     let calls = net.calls - before;
     // Two watchers in each of four failure domains, with a watch of one second and a short pause;
-    // two slow calls each from the 32 others.
+    // two polls each from the 32 others.
     assert!(calls <= 8 * 55 + 32 * 2, "{calls} calls");
 }
 
-/// What may happen to a fleet.
+/// Events in a fleet.
 #[derive(Debug, Clone)]
 enum Step {
     Run(u64),
@@ -228,8 +230,8 @@
         ..Config::default()
     })]
 
-    /// Anything may happen to links, processes and the service, in any order. A revision that falls
-    /// back at any process would put a failure domain that was taken out to work again.
+    /// Links, processes and the service fail in any order. A revision that decreased at any process
+    /// would put a failure domain that was taken out of service to work again.
     #[test]
     fn revisions_never_fall_back(steps in prop::collection::vec(step(), 1..40)) {
         let mut net = Net::fleet(3, 5);
@@ -255,7 +257,7 @@
         }
         heal(&mut net);
         net.loss = 0.0;
-        // The service may hold nothing but an invalid value, and all processes may have been killed.
+        // The service may hold only an invalid value, and all processes may have been killed.
         apply(&mut net, &Step::Publish(published + 1));
         for number in 0..5 {
             apply(&mut net, &Step::Start(number));
--- a/crates/lentillift-fleet/tests/swim.rs
+++ b/crates/lentillift-fleet/tests/swim.rs
@@ -33,7 +33,7 @@
     format!("h{number}")
 }
 
-/// Hosts in four failure domains, host `n` in domain `n % 4`.
+/// Simulated network of hosts in four failure domains, host `n` in domain `n % 4`.
 struct Net {
     now: Time,
     hosts: BTreeMap<usize, Swim<StdRng>>,
@@ -42,7 +42,7 @@
     rng: StdRng,
     /// Share of datagrams that are lost, in hundredths.
     loss: u32,
-    /// Pairs of hosts that hear nothing of each other.
+    /// Pairs of hosts between which no datagram passes.
     cut: BTreeSet<(usize, usize)>,
     seeds: Vec<SocketAddr>,
     bytes: usize,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Hosts that `number` holds for alive and at work.
+    /// Hosts that `number` considers alive and serving.
     fn serving(&self, number: usize) -> BTreeSet<String> {
         let serving = self.hosts[&number].serving();
         serving.map(|member| member.host.to_string()).collect()
@@ -169,11 +169,11 @@
     many_hosts_that_start_at_once(net: 90) {
         net.run(SECOND * 6);
         assert!(net.all_know(90));
-        // Each host's share of the common start, news of news included.
+        // Each host's share of the common start, forwarded updates included.
         assert!(net.bytes / 90 < 60_000, "{} bytes a host", net.bytes / 90);
     }
 
-    /// A fifth of all datagrams is lost. Everybody is still found, and nobody is held for dead.
+    /// A fifth of all datagrams is lost. All hosts are still found, and none is considered dead.
     losses_are_made_up_for(net: 9) {
         net.loss = 20;
         net.run(SECOND * 8);
@@ -183,8 +183,8 @@
         }
     }
 
-    /// All seeds are down when a host starts anew. It serves alone, and is found again by those that
-    /// remember it once one of them asks.
+    /// All seeds are down when a host restarts. It serves alone, and is found again by hosts that
+    /// remember it once one of them probes it.
     a_host_without_seeds_is_found_again(net: 9) {
         net.run(SECOND * 3);
         net.seeds = vec![address(901)];
@@ -195,8 +195,8 @@
         assert!(net.all_know(9));
     }
 
-    /// A host loses power. The others stop asking it, but still count it: it may be cut off from them
-    /// alone, and spend its part of what all may do.
+    /// A host loses power. The others stop probing it in the regular round, but still count it: it
+    /// may be cut off from them alone, and use its share of a common budget.
     a_dead_host_is_counted_but_not_asked(net: 9) {
         net.run(SECOND * 3);
         net.hosts.remove(&4);
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A host ends and says so. Nobody waits for it, and nobody counts it.
+    /// A host announces its end. No other host waits for it or counts it.
     a_host_that_ends_is_not_counted(net: 9) {
         net.run(SECOND * 3);
         let effects = net.hosts.get_mut(&4).map(Swim::leave).unwrap_or_default();
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Two halves of the fleet are cut off from each other for twenty seconds. They find each other
-    /// again, though by then each half holds the other for dead.
+    /// Two halves of the fleet are cut off from each other for twenty seconds. They reconnect,
+    /// though by then each half considers the other dead.
     halves_meet_again(net: 9) {
         net.run(SECOND * 3);
         for a in 0..4 {
@@ -254,8 +254,8 @@
     )
 }
 
-/// Hosts that know the same read the service at one place, whatever the size of the fleet, and each
-/// change crosses into a failure domain once.
+/// With the same membership at every host, one host reads the service, whatever the size of the
+/// fleet, and each change is sent once into each failure domain.
 #[test]
 fn one_host_reads_and_one_in_each_domain_follows_it() {
     for count in [9, 61, 760] {
@@ -275,8 +275,8 @@
     }
 }
 
-/// Whoever is followed is cut off from the service. Everybody's order leads to others and in the end
-/// to the service itself.
+/// The origin is cut off from the service. Every host's order contains other origins and in the end
+/// the service itself.
 #[test]
 fn every_order_reaches_the_service() {
     for number in 0..9 {
--- a/crates/lentillift-fleet/tests/sync.rs
+++ b/crates/lentillift-fleet/tests/sync.rs
@@ -1,4 +1,4 @@
-//! Fetching a value from peers.
+//! Fetching values from peers.
 
 use lentillift_core::id;
 use lentillift_fleet::sync;
@@ -22,7 +22,7 @@
     name.into()
 }
 
-/// A store that holds a value of `bytes` bytes, with its mark.
+/// A store that holds a value of `bytes` bytes, and the value's stamp.
 fn store(revision: u64, bytes: usize) -> (Store, Stamp) {
     let mut store = Store::default();
     let mut body = format!(r#"{{"revision": {revision}, "servers": {{}}, "maps": []}}"#);
@@ -32,7 +32,7 @@
     (store, mark)
 }
 
-/// Answers what `letter` asks for out of `store`.
+/// Answers the request in `envelope` from `store`.
 fn serve(store: &Store, letter: &Letter) -> Message {
     let Message::Pull {
         key,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Fetches until the value is whole; returns it with the number of chunks.
+/// Fetches until the value is complete; returns it with the number of chunks.
 fn finish(fetch: &mut Fetch, store: &Store, mut letter: Letter) -> (Arrival, usize) {
     let mut chunks = 0;
     loop {
@@ -74,8 +74,8 @@
     assert!(fetch.is_idle());
 }
 
-/// The peer that told of a value dies before it has sent it. The value would never come, although
-/// others hold it too.
+/// The peer that announced a value dies before it has sent the value. The value would never arrive,
+/// although other peers have it too.
 #[test]
 fn another_holder_is_asked_after_silence() {
     let (_, mark) = store(3, 100);
@@ -90,8 +90,8 @@
     assert_eq!(fetch.tick(LATER)[0].0, host("b"));
 }
 
-/// A new revision replaces the value while it is being sent. Its end would be put to the other's
-/// beginning.
+/// A new revision replaces the value while it is being sent. The end of the new one would be
+/// appended to the beginning of the old one.
 #[test]
 fn value_that_changes_midway_starts_anew() {
     let (old, mark) = store(3, 3 * CHUNK);
@@ -108,7 +108,8 @@
     assert_eq!(arrival.body.len(), 2 * CHUNK);
 }
 
-/// A chunk comes twice, as after a new question to a slow peer. The value would grow too long.
+/// A chunk arrives twice, as after a repeated request to a slow peer. The value would become too
+/// long.
 #[test]
 fn doubled_chunk_counts_once() {
     let (store, mark) = store(3, 2 * CHUNK);
