--- a/crates/lentillift-fleet/benches/view.rs
+++ b/crates/lentillift-fleet/benches/view.rs
@@ -1,4 +1,4 @@
-//! What it costs to draw a view at the target size.
+//! Cost of deriving a view at the target size.
 
 use criterion::Criterion;
 use lentillift_core::id;
@@ -18,13 +18,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Hosts at the target size.
+/// Number of hosts at the target size.
 const HOSTS: usize = 760;
 
-/// Services, each with as many backend servers.
+/// Number of services, each with as many backend servers.
 const SERVICES: usize = 68;
 
-/// Backend servers at the target size.
+/// Number of backend servers at the target size.
 const BACKENDS: usize = 4600;
 
 fn address(number: usize) -> SocketAddr {
--- a/crates/lentillift-fleet/examples/ownership.rs
+++ b/crates/lentillift-fleet/examples/ownership.rs
@@ -1,7 +1,9 @@
-//! What ownership costs and moves as the fleet grows; run in a release build.
+//! Measures what ownership costs and how much of it moves as the fleet grows; run in a release
+//! build.
 //!
 //! Prints, for each size, the share of backend servers whose owner and whose guardians change when
-//! one host leaves the published list, and the bytes of renewals that a process sends and receives.
+//! one host leaves the published list, and the claims that a process sends per second and to how
+//! many peers.
 
 use lentillift_fleet::guardian;
 use lentillift_settings::placement::State;
@@ -11,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Hosts, backend servers and failure domains of each size.
+/// Numbers of hosts, backend servers and failure domains of each size.
 const SIZES: [(usize, usize, usize); 5] = [
     (6, 140, 3),
     (9, 140, 4),
@@ -40,7 +42,7 @@
         let pairs = || old.iter().zip(&new);
         let owners = pairs().filter(|(a, b)| a.first() != b.first()).count();
         let sets = pairs().filter(|(a, b)| a != b).count();
-        // A holder asks all its guardians but itself, once a second.
+        // A holder sends renewals to all its guardians but itself, once a second.
         let mut asked: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
         let mut claims = 0;
         for guardians in &old {
--- a/crates/lentillift-fleet/examples/scale.rs
+++ b/crates/lentillift-fleet/examples/scale.rs
@@ -1,7 +1,7 @@
 //! Measures what membership and configuration cost a process as the fleet grows.
 //!
-//! All processes' protocol state runs in one process over in-memory links in virtual time; each
-//! datagram and message is encoded as on the wire.
+//! The protocol state of all processes runs in one process over in-memory links in virtual time;
+//! each datagram and message is encoded as on the wire.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,16 +9,16 @@
 use common::Net;
 use std::time::Duration;
 
-/// Time over which a quiet fleet is watched.
+/// Time over which a quiet fleet is measured.
 const QUIET: Duration = Duration::from_secs(60);
 
 /// Bytes of IP and UDP headers on each datagram.
 const HEADERS: u64 = 28;
 
-/// Values besides the configuration and the list of hosts.
+/// Number of values besides the configuration and the list of hosts.
 const SERVICES: usize = 100;
 
-/// A field of a `/proc/self` file.
+/// Numeric field of a `/proc/self` file; 0 if it can't be read.
 fn field(file: &str, position: usize) -> u64 {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let field = text.split_whitespace().nth(position);
@@ -30,7 +30,7 @@
     field("/proc/self/statm", 1) * 4096
 }
 
-/// Processor time of this process.
+/// Processor time used by this process.
 fn processor() -> Duration {
     Duration::from_nanos(field("/proc/self/schedstat", 0))
 }
@@ -40,7 +40,8 @@
     nodes.fold((0, 0), |(p, b), n| (p + n.packets, b + n.bytes))
 }
 
-/// Per process and second: messages, bytes with headers, share of a core.
+/// Messages per process and second, bytes with headers per process and second, and the share of a
+/// core per process.
 fn rates(net: &mut Net, time: Duration) -> (f64, f64, f64) {
     let before = totals(net);
     let since = processor();
@@ -68,7 +69,7 @@
         println!("{nodes:>5} nodes: not settled after 120 s");
         return;
     };
-    // Until the news of the start has gone round.
+    // Until the updates of the start have spread.
     net.run(Duration::from_secs(60) + Duration::from_millis(500) * nodes as u32);
     let memory = (resident() - empty) / nodes as u64;
     let calls = net.calls;
@@ -96,7 +97,7 @@
     net.run(Duration::from_secs(2));
     let spread = (totals(&net).1 - before.1) / nodes as u64;
 
-    // A host dies without a word.
+    // A host dies without announcing it.
     net.kill(nodes / 2);
     let dead = net.wait(Duration::from_secs(60), Net::settled);
     // Hosts are replaced one after the other: 14,400 a day, 35 times as many as expected.
