--- a/crates/lentillift-fleet/benches/view.rs
+++ b/crates/lentillift-fleet/benches/view.rs
@@ -88,20 +88,20 @@
     hosts.collect()
 }
 
-fn draw(criterion: &mut Criterion) {
+fn bench_views(criterion: &mut Criterion) {
     let values = values();
     let hosts = hosts();
     let view = View::derive(1, Time::MAX, values.clone(), hosts.clone());
     criterion.bench_function("values changed", |bencher| {
-        bencher.iter(|| black_box(view.follow(Some(&values), hosts.clone())));
+        bencher.iter(|| black_box(view.updated(Some(&values), hosts.clone())));
     });
     let mut fewer = hosts.clone();
     fewer.pop_first();
     criterion.bench_function("one host less", |bencher| {
-        bencher.iter(|| black_box(view.follow(None, fewer.clone())));
+        bencher.iter(|| black_box(view.updated(None, fewer.clone())));
     });
     criterion.bench_function("same usable hosts", |bencher| {
-        bencher.iter(|| black_box(view.follow(None, hosts.clone())));
+        bencher.iter(|| black_box(view.updated(None, hosts.clone())));
     });
     criterion.bench_function("renewal", |bencher| {
         bencher.iter(|| black_box(View::clone(&view)));
@@ -110,6 +110,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().sample_size(10).configure_from_args();
-    draw(&mut criterion);
+    bench_views(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/lentillift-fleet/src/core.rs
+++ b/crates/lentillift-fleet/src/core.rs
@@ -1,27 +1,26 @@
 //! State machine of one process in the fleet: membership, the values in force, and the view to act
 //! on.
 
-use crate::census::Census;
-use crate::drift;
-use crate::drift::Drift;
-use crate::drift::VALUE_PATIENCE;
+use crate::anti_entropy;
+use crate::anti_entropy::Divergence;
+use crate::anti_entropy::VALUE_SPREAD_TIME;
 use crate::freshness;
 use crate::freshness::Freshness;
 use crate::gossip::Queue;
-use crate::life::Any;
-use crate::life::Life;
+use crate::lifecycle::AnyStage;
+use crate::lifecycle::Lifecycle;
 use crate::member::Member;
 use crate::member::Table;
 use crate::packet::Body;
 use crate::packet::Digest;
 use crate::packet::Packet;
 use crate::packet::Update;
-use crate::picture::Picture;
 use crate::probe;
 use crate::probe::Prober;
 use crate::read;
 use crate::read::Index;
 use crate::read::Reader;
+use crate::stats::FleetStats;
 use crate::sync;
 use crate::sync::Fetch;
 use crate::value::Key;
@@ -29,6 +28,7 @@
 use crate::value::Store;
 use crate::view::Stage;
 use crate::view::View;
+use crate::view_state::ViewState;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use rand::Rng;
@@ -114,8 +114,8 @@
     pub(crate) options: Options,
     pub(crate) rng: R,
     pub(crate) started: Time,
-    life: Option<Any>,
-    // INVARIANT: The record of this process in `life`.
+    lifecycle: Option<AnyStage>,
+    // INVARIANT: The record of this process in `lifecycle`.
     pub(crate) own: Member,
     pub(crate) table: Table,
     pub(crate) store: Store,
@@ -124,20 +124,20 @@
     pub(crate) queue: Queue,
     pub(crate) reader: Reader,
     pub(crate) fetch: Fetch,
-    pub(crate) picture: Picture,
-    pub(crate) census: Census,
+    pub(crate) view_state: ViewState,
+    pub(crate) stats: FleetStats,
     /// When ended hosts were last removed.
-    pub(crate) swept: Time,
+    pub(crate) last_sweep: Time,
     /// Stamps of values from peers that failed this process's checks.
     pub(crate) refused: BTreeMap<Key, Stamp>,
-    value_drift: Drift,
-    member_drift: Drift,
+    value_divergence: Divergence,
+    member_divergence: Divergence,
     /// When a peer last answered.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_answer: Option<Time>,
     /// Peers that were asked for their full state during the start, with the time of the request.
-    pub(crate) asked: BTreeMap<id::Host, Time>,
+    pub(crate) state_requests: BTreeMap<id::Host, Time>,
     /// Peers that have sent their full state.
-    pub(crate) told: BTreeSet<id::Host>,
+    pub(crate) state_received: BTreeSet<id::Host>,
 }
 
 impl<R> Fleet<R>
@@ -146,12 +146,12 @@
 {
     /// Starts as `me`, whose version and incarnation must never have been used by its host.
     pub fn new(options: Options, now: Time, me: Member, rng: R) -> Self {
-        let life = Any::Starting(Life::start(me));
-        let own = life.member().clone();
+        let lifecycle = AnyStage::Starting(Lifecycle::start(me));
+        let own = lifecycle.member().clone();
         Self {
             rng,
             started: now,
-            life: Some(life),
+            lifecycle: Some(lifecycle),
             own,
             table: Table::default(),
             store: Store::default(),
@@ -160,15 +160,15 @@
             queue: Queue::default(),
             reader: Reader::new(options.read),
             fetch: Fetch::default(),
-            picture: Picture::default(),
-            census: Census::default(),
-            swept: now,
+            view_state: ViewState::default(),
+            stats: FleetStats::default(),
+            last_sweep: now,
             refused: BTreeMap::new(),
-            value_drift: Drift::default(),
-            member_drift: Drift::default(),
-            heard: None,
-            asked: BTreeMap::new(),
-            told: BTreeSet::new(),
+            value_divergence: Divergence::default(),
+            member_divergence: Divergence::default(),
+            last_answer: None,
+            state_requests: BTreeMap::new(),
+            state_received: BTreeSet::new(),
             options,
         }
     }
@@ -190,45 +190,45 @@
 
     /// The latest view.
     pub fn view(&self) -> &Arc<View> {
-        self.picture.view()
+        self.view_state.view()
     }
 
     /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         let mut effects = match event {
             Event::Tick => self.tick(now),
-            Event::Packet(packet) => self.packet(now, packet),
-            Event::Message(from, message) => self.message(now, &from, message),
-            Event::Index(index) => self.index(now, index),
-            Event::Value(key, body) => self.value(now, &key, body),
-            Event::Leave => self.retire(Any::leave),
-            Event::End => self.retire(Any::end),
+            Event::Packet(packet) => self.handle_packet(now, packet),
+            Event::Message(from, message) => self.handle_message(now, &from, message),
+            Event::Index(index) => self.handle_index(now, index),
+            Event::Value(key, body) => self.handle_value(now, &key, body),
+            Event::Leave => self.stop_serving(AnyStage::leave),
+            Event::End => self.stop_serving(AnyStage::end),
         };
-        if let Some(view) = self.draw(now) {
+        if let Some(view) = self.refresh_view(now) {
             effects.insert(0, Effect::View(view));
         }
         effects
     }
 
     /// Moves to a later stage in which no callers may be sent here.
-    fn retire(&mut self, step: fn(Any) -> Any) -> Vec<Effect> {
+    fn stop_serving(&mut self, step: fn(AnyStage) -> AnyStage) -> Vec<Effect> {
         let mut effects = self.advance(step);
         effects.push(Effect::Ready(false));
         effects
     }
 
     /// Moves to a later stage and announces it to some peers at once.
-    pub(crate) fn advance(&mut self, step: fn(Any) -> Any) -> Vec<Effect> {
-        let Some(life) = self.life.take().map(step) else {
+    pub(crate) fn advance(&mut self, step: fn(AnyStage) -> AnyStage) -> Vec<Effect> {
+        let Some(lifecycle) = self.lifecycle.take().map(step) else {
             return Vec::new();
         };
-        let changed = life.member().stage != self.own.stage;
-        self.own = life.member().clone();
-        self.life = Some(life);
+        let changed = lifecycle.member().stage != self.own.stage;
+        self.own = lifecycle.member().clone();
+        self.lifecycle = Some(lifecycle);
         if !changed {
             return Vec::new();
         }
-        self.picture.touch_hosts();
+        self.view_state.mark_hosts_changed();
         let mut effects = vec![note(
             "stage",
             &self.own.host,
@@ -238,42 +238,42 @@
         effects
     }
 
-    fn packet(&mut self, now: Time, packet: Packet) -> Vec<Effect> {
+    fn handle_packet(&mut self, now: Time, packet: Packet) -> Vec<Effect> {
         let Packet {
             from,
             digest,
             body,
-            updates: news,
+            updates,
         } = packet;
-        let mut effects = self.learn(now, &from);
+        let mut effects = self.merge_member(now, &from);
         if from.host == self.own.host {
             return effects;
         }
-        for news in news {
-            match news {
-                Update::Member(member) => effects.extend(self.learn(now, &member)),
-                Update::Value(key, mark) => self.want(&key, mark, &from.host),
+        for update in updates {
+            match update {
+                Update::Member(member) => effects.extend(self.merge_member(now, &member)),
+                Update::Value(key, stamp) => self.want(&key, stamp, &from.host),
             }
         }
-        effects.extend(self.answer(now, &from, body));
-        effects.extend(self.compare(now, &from, digest));
+        effects.extend(self.handle_body(now, &from, body));
+        effects.extend(self.compare_digests(now, &from, digest));
         effects.extend(self.pull(now));
         effects
     }
 
-    fn answer(&mut self, now: Time, from: &Member, body: Body) -> Vec<Effect> {
+    fn handle_body(&mut self, now: Time, from: &Member, body: Body) -> Vec<Effect> {
         match body {
             Body::Ping(sequence) => {
-                let packet = self.make(Body::Ack(sequence), Some(&from.host));
+                let packet = self.make_packet(Body::Ack(sequence), Some(&from.host));
                 vec![Effect::Packet(from.address, packet)]
             }
             Body::Ack(sequence) => {
                 let answer = self.prober.ack(&from.host, sequence);
-                self.settle(now, answer)
+                self.handle_answer(now, answer)
             }
             Body::Proof(sequence) => {
-                let answer = self.prober.settle(sequence);
-                self.settle(now, answer)
+                let answer = self.prober.complete(sequence);
+                self.handle_answer(now, answer)
             }
             Body::Probe {
                 sequence,
@@ -281,7 +281,7 @@
                 address,
             } => match self.prober.relay(now, from.address, sequence) {
                 Some(own) => {
-                    let packet = self.make(Body::Ping(own), Some(&target));
+                    let packet = self.make_packet(Body::Ping(own), Some(&target));
                     vec![Effect::Packet(address, packet)]
                 }
                 None => Vec::new(),
@@ -290,15 +290,15 @@
         }
     }
 
-    fn settle(&mut self, now: Time, answer: probe::Answer) -> Vec<Effect> {
+    fn handle_answer(&mut self, now: Time, answer: probe::Answer) -> Vec<Effect> {
         match answer {
             probe::Answer::Own(sent) => {
-                self.heard = Some(now);
+                self.last_answer = Some(now);
                 self.freshness.prove(sent);
                 Vec::new()
             }
             probe::Answer::Relayed(origin, sequence) => {
-                let packet = self.make(Body::Proof(sequence), None);
+                let packet = self.make_packet(Body::Proof(sequence), None);
                 vec![Effect::Packet(origin, packet)]
             }
             probe::Answer::Late => Vec::new(),
@@ -307,9 +307,9 @@
 
     /// Builds a datagram with updates. `to` is sent any record by which it is suspect, dead or
     /// gone, so that it can refute it.
-    pub(crate) fn make(&mut self, body: Body, to: Option<&id::Host>) -> Packet {
-        let against = to.and_then(|to| self.table.against(to));
-        let news = self.queue.take_with(against);
+    pub(crate) fn make_packet(&mut self, body: Body, to: Option<&id::Host>) -> Packet {
+        let accusation = to.and_then(|to| self.table.accusation(to));
+        let updates = self.queue.take_with(accusation);
         Packet {
             from: self.own.clone(),
             digest: Digest {
@@ -317,7 +317,7 @@
                 members: self.member_digest(),
             },
             body,
-            updates: news,
+            updates,
         }
     }
 
@@ -327,59 +327,61 @@
     }
 
     /// Merges a received record of a host.
-    pub(crate) fn learn(&mut self, now: Time, news: &Member) -> Vec<Effect> {
-        if news.host == self.own.host {
-            self.refute(news);
+    pub(crate) fn merge_member(&mut self, now: Time, received: &Member) -> Vec<Effect> {
+        if received.host == self.own.host {
+            self.refute(received);
             return Vec::new();
         }
-        let old = self.table.get(&news.host).cloned();
-        if !self.table.merge(now, news) {
+        let old = self.table.get(&received.host).cloned();
+        if !self.table.merge(now, received) {
             return Vec::new();
         }
-        self.picture.touch_hosts();
+        self.view_state.mark_hosts_changed();
         // Records that a starting process receives are known to the others already.
-        if self.own.stage != Stage::Starting || news.stage == Stage::Starting {
+        if self.own.stage != Stage::Starting || received.stage == Stage::Starting {
             let hosts = self.table.len();
-            self.queue.push(Update::Member(news.clone()), hosts);
+            self.queue.push(Update::Member(received.clone()), hosts);
         }
         let mut effects = Vec::new();
         let mut same = false;
         if let Some(old) = old.filter(|old| old.incarnation > 0) {
-            same = (old.stage, old.health) == (news.stage, news.health);
-            let over = news.is_over() && !old.is_over();
-            if over || old.incarnation != news.incarnation {
+            same = (old.stage, old.health) == (received.stage, received.health);
+            let over = received.has_ended() && !old.has_ended();
+            if over || old.incarnation != received.incarnation {
                 effects.push(Effect::Lost(old.host, old.incarnation));
             }
         }
         if !same {
-            let detail = format!("{:?}, {:?}", news.stage, news.health).to_lowercase();
-            effects.push(note("host", &news.host, detail));
+            let detail = format!("{:?}, {:?}", received.stage, received.health).to_lowercase();
+            effects.push(note("host", &received.host, detail));
         }
         effects
     }
 
-    fn refute(&mut self, news: &Member) {
-        let Some(life) = &mut self.life else {
+    fn refute(&mut self, received: &Member) {
+        let Some(lifecycle) = &mut self.lifecycle else {
             return;
         };
-        if life.refute(news) {
-            self.own = life.member().clone();
-            self.picture.touch_hosts();
+        if lifecycle.refute(received) {
+            self.own = lifecycle.member().clone();
+            self.view_state.mark_hosts_changed();
             self.queue
                 .push(Update::Member(self.own.clone()), self.table.len());
         }
     }
 
     /// Requests a peer's full state if the digests have differed for long, or as part of the start.
-    fn compare(&mut self, now: Time, from: &Member, digest: Digest) -> Vec<Effect> {
+    fn compare_digests(&mut self, now: Time, from: &Member, digest: Digest) -> Vec<Effect> {
         let values = digest.values == self.store.digest();
         let members = digest.members == self.member_digest();
-        let patience = drift::member_patience(self.table.len());
-        let mut asks = self.value_drift.observe(now, values, VALUE_PATIENCE);
-        asks |= self.member_drift.observe(now, members, patience);
+        let spread_time = anti_entropy::member_spread_time(self.table.len());
+        let mut request = self
+            .value_divergence
+            .observe(now, values, VALUE_SPREAD_TIME);
+        request |= self.member_divergence.observe(now, members, spread_time);
         let starting = self.own.stage == Stage::Starting;
-        asks |= starting && self.asks_at_start(now, &from.host);
-        if !asks {
+        request |= starting && self.requests_state_at_start(now, &from.host);
+        if !request {
             return Vec::new();
         }
         vec![Effect::Message(from.host.clone(), sync::Message::Ask)]
--- a/crates/lentillift-fleet/src/exchange.rs
+++ b/crates/lentillift-fleet/src/exchange.rs
@@ -18,39 +18,32 @@
 where
     R: Rng,
 {
-    pub(crate) fn message(
+    pub(crate) fn handle_message(
         &mut self,
         now: Time,
         from: &id::Host,
         message: sync::Message,
     ) -> Vec<Effect> {
         match message {
-            sync::Message::Ask => vec![Effect::Message(from.clone(), self.tell())],
-            sync::Message::Told {
-                members,
-                stamps: marks,
-            } => {
+            sync::Message::Ask => vec![Effect::Message(from.clone(), self.full_state())],
+            sync::Message::Told { members, stamps } => {
                 let mut effects = Vec::new();
                 for member in &members {
-                    effects.extend(self.learn(now, member));
+                    effects.extend(self.merge_member(now, member));
                 }
-                for (key, mark) in marks {
-                    self.want(&key, mark, from);
+                for (key, stamp) in stamps {
+                    self.want(&key, stamp, from);
                 }
-                self.told.insert(from.clone());
+                self.state_received.insert(from.clone());
                 effects.extend(self.pull(now));
                 effects
             }
-            sync::Message::Pull {
-                key,
-                stamp: mark,
-                offset,
-            } => {
-                let chunk = sync::serve(&self.store, &key, mark, offset);
+            sync::Message::Pull { key, stamp, offset } => {
+                let chunk = sync::serve(&self.store, &key, stamp, offset);
                 let chunk = chunk.map(|chunk| Effect::Message(from.clone(), chunk));
                 chunk.into_iter().collect()
             }
-            chunk @ sync::Message::Chunk { .. } => self.chunk(now, from, chunk),
+            chunk @ sync::Message::Chunk { .. } => self.handle_chunk(now, from, chunk),
         }
     }
 
@@ -58,59 +51,59 @@
     ///
     /// Hosts that have ended and are no longer published are left out: processes would remind each
     /// other of them for ever.
-    fn tell(&self) -> sync::Message {
+    fn full_state(&self) -> sync::Message {
         let known = self.table.iter().filter(|member| {
-            let past = member.is_over() && !self.table.is_published(&member.host);
-            member.version > 0 && !past
+            let expired = member.has_ended() && !self.table.is_published(&member.host);
+            member.version > 0 && !expired
         });
-        let marks = self.store.marks();
+        let stamps = self.store.stamps();
         sync::Message::Told {
             members: known.chain([&self.own]).cloned().collect(),
-            stamps: marks.map(|(key, mark)| (key.clone(), mark)).collect(),
+            stamps: stamps.map(|(key, stamp)| (key.clone(), stamp)).collect(),
         }
     }
 
-    pub(crate) fn want(&mut self, key: &Key, mark: Stamp, holder: &id::Host) {
-        let refused = self.refused.get(key) == Some(&mark);
-        if mark > self.store.mark(key) && !refused && crate::value::is_known(key) {
-            self.fetch.want(key, mark, holder);
+    pub(crate) fn want(&mut self, key: &Key, stamp: Stamp, holder: &id::Host) {
+        let refused = self.refused.get(key) == Some(&stamp);
+        if stamp > self.store.stamp(key) && !refused && crate::value::is_known(key) {
+            self.fetch.want(key, stamp, holder);
         }
     }
 
     /// Requests wanted values from peers.
     pub(crate) fn pull(&mut self, now: Time) -> Vec<Effect> {
-        let letters = self.fetch.tick(now).into_iter();
-        letters
+        let envelopes = self.fetch.tick(now).into_iter();
+        envelopes
             .map(|(to, message)| Effect::Message(to, message))
             .collect()
     }
 
-    fn chunk(&mut self, now: Time, from: &id::Host, chunk: sync::Message) -> Vec<Effect> {
-        let (arrival, letter) = self.fetch.chunk(now, from, chunk);
-        let mut effects: Vec<Effect> = letter
+    fn handle_chunk(&mut self, now: Time, from: &id::Host, chunk: sync::Message) -> Vec<Effect> {
+        let (fetched, envelope) = self.fetch.chunk(now, from, chunk);
+        let mut effects: Vec<Effect> = envelope
             .into_iter()
             .map(|(to, message)| Effect::Message(to, message))
             .collect();
-        if let Some(arrival) = arrival {
+        if let Some(fetched) = fetched {
             let offered = self
                 .store
-                .offer(&arrival.key, arrival.version, &arrival.body);
+                .offer(&fetched.key, fetched.version, &fetched.body);
             if offered.is_err() {
-                self.refused.insert(arrival.key.clone(), arrival.mark);
+                self.refused.insert(fetched.key.clone(), fetched.stamp);
             }
-            effects.extend(self.offered(now, &arrival.key, offered, Some(from)));
+            effects.extend(self.handle_offer(now, &fetched.key, offered, Some(from)));
             effects.extend(self.pull(now));
         }
         effects
     }
 
-    pub(crate) fn index(&mut self, now: Time, index: Option<Index>) -> Vec<Effect> {
+    pub(crate) fn handle_index(&mut self, now: Time, index: Option<Index>) -> Vec<Effect> {
         let failed = index.is_none();
         let before = self.reader.failures();
         let store = &self.store;
         let held = |key: &Key| Some(store.get(key)?.version);
-        if let Some(asked) = self.reader.index(now, index, held) {
-            self.freshness.prove(asked);
+        if let Some(called_at) = self.reader.index(now, index, held) {
+            self.freshness.prove(called_at);
         }
         let kind = "configuration service";
         match (failed, before) {
@@ -120,12 +113,17 @@
         }
     }
 
-    pub(crate) fn value(&mut self, now: Time, key: &Key, body: Option<Vec<u8>>) -> Vec<Effect> {
+    pub(crate) fn handle_value(
+        &mut self,
+        now: Time,
+        key: &Key,
+        body: Option<Vec<u8>>,
+    ) -> Vec<Effect> {
         let version = self.reader.value(now, key, body.is_some());
         let mut effects = match body {
             Some(body) => {
                 let offered = self.store.offer(key, version, &body);
-                self.offered(now, key, offered, None)
+                self.handle_offer(now, key, offered, None)
             }
             None => Vec::new(),
         };
@@ -134,30 +132,30 @@
     }
 
     /// Applies the consequences of offering a value to the store.
-    fn offered(
+    fn handle_offer(
         &mut self,
         now: Time,
         key: &Key,
         offered: Result<Offer>,
         from: Option<&id::Host>,
     ) -> Vec<Effect> {
-        self.fetch.settle(key, self.store.mark(key));
+        self.fetch.cancel_up_to(key, self.store.stamp(key));
         let source = from.map_or("configuration service", |from| from);
         match offered {
-            Ok(Offer::Taken(mark)) => {
+            Ok(Offer::Taken(stamp)) => {
                 let hosts = self.table.len();
-                self.queue.push(Update::Value(key.clone(), mark), hosts);
-                self.picture.touch_values();
+                self.queue.push(Update::Value(key.clone(), stamp), hosts);
+                self.view_state.mark_values_changed();
                 if let Some(roster) = &self.store.values().roster
                     && &**key == "hosts"
                 {
-                    self.table.publish(now, &self.own.host, roster);
+                    self.table.apply_roster(now, &self.own.host, roster);
                 }
                 vec![Effect::Note {
                     kind: "in force",
                     subject: key.to_string(),
-                    detail: format!("revision {} from {source}", mark.revision),
-                    token: Some(format!("{key} {}", mark.revision)),
+                    detail: format!("revision {} from {source}", stamp.revision),
+                    token: Some(format!("{key} {}", stamp.revision)),
                     from: from.cloned(),
                 }]
             }
--- a/crates/lentillift-fleet/src/follow.rs
+++ b/crates/lentillift-fleet/src/follow.rs
@@ -32,7 +32,7 @@
 /// since those may be the very ones that the service turns away. Each round tries others, so a host
 /// with current data is found in the end, and while the service is unavailable to all, a search
 /// stays at eight requests a round or less.
-const OTHERS: usize = 3;
+const FALLBACKS: usize = 3;
 
 /// Number of hosts of its failure domain that a host forwards updates to, and of first hosts of
 /// other domains. A larger value means fewer steps of more copies each; the product of the two is
@@ -40,10 +40,10 @@
 pub const FANOUT: usize = 3;
 
 /// Number of hosts of its failure domain that a host tries before the first host of all.
-const NEAR: usize = 2;
+const MAX_NEAR: usize = 2;
 
 /// Rendezvous key under which hosts are ranked.
-const KEY: &str = "reader";
+const RANK_KEY: &str = "reader";
 
 /// Timing of the distribution, derived from one bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,10 +132,10 @@
     ///
     /// Scenario: a process is paused, and when it resumes, requests wait in its sockets beside the
     /// updates that it missed. Served first, they would use data that was replaced long ago.
-    pub fn admit(&self, age: Duration, away: Option<Duration>) -> Admission {
+    pub fn admit(&self, age: Duration, since_unavailable: Option<Duration>) -> Admission {
         // No host can have newer data while the service is unavailable.
-        let is_away = away.is_some_and(|away| away <= self.bound);
-        match age <= self.bound || is_away {
+        let is_unavailable = since_unavailable.is_some_and(|since| since <= self.bound);
+        match age <= self.bound || is_unavailable {
             true => Admission::Serve,
             false => Admission::Await(self.frame_timeout()),
         }
@@ -189,34 +189,40 @@
 ///
 /// The best origin of a host ranks above it, so hosts that agree on who answers never follow each
 /// other in a ring.
-pub fn rank_origins(me: &Candidate, others: &[Candidate], fan: usize, round: usize) -> Vec<Origin> {
+pub fn rank_origins(
+    me: &Candidate,
+    others: &[Candidate],
+    fanout: usize,
+    round: usize,
+) -> Vec<Origin> {
     let ranked = rank(me, others);
     let heads = heads(&ranked);
     let near: Vec<&Candidate> = ranked
         .iter()
-        .filter(|one| one.domain == me.domain)
+        .filter(|candidate| candidate.domain == me.domain)
         .copied()
         .collect();
-    let place = |hosts: &[&Candidate]| hosts.iter().position(|one| one.host == me.host);
+    let position =
+        |hosts: &[&Candidate]| hosts.iter().position(|candidate| candidate.host == me.host);
     let mut order = Vec::new();
-    match place(&heads) {
+    match position(&heads) {
         Some(0) => order.push(Origin::Service),
-        Some(head) => order.extend(above(&heads, head, fan).next()),
+        Some(head) => order.extend(ancestors(&heads, head, fanout).next()),
         None => order.extend(
-            place(&near)
-                .map(|me| nearest(&near, me, fan))
+            position(&near)
+                .map(|me| local_origins(&near, me, fanout))
                 .unwrap_or_default(),
         ),
     }
     order.extend(heads.first().map(|head| origin(head)));
     order.push(Origin::Service);
     order.extend(heads.iter().map(|head| origin(head)));
-    let first = round * OTHERS % ranked.len();
-    let strangers = ranked.iter().filter(|one| one.host != me.host);
+    let first = round * FALLBACKS % ranked.len();
+    let fallbacks = ranked.iter().filter(|candidate| candidate.host != me.host);
     // Without any other host the cycle is empty and ends at once.
-    let strangers = strangers.cycle().skip(first).take(OTHERS);
-    order.extend(strangers.map(|one| origin(one)));
-    let order = order.into_iter().filter(|one| *one != origin(me));
+    let fallbacks = fallbacks.cycle().skip(first).take(FALLBACKS);
+    order.extend(fallbacks.map(|candidate| origin(candidate)));
+    let order = order.into_iter().filter(|other| *other != origin(me));
     distinct(order)
 }
 
@@ -238,43 +244,45 @@
     distinct
 }
 
-/// Hosts of a failure domain that the one at `place` tries first: those by which updates reach it,
-/// then the first by rank.
-fn nearest(near: &[&Candidate], place: usize, fan: usize) -> Vec<Origin> {
-    let me = origin(near[place]);
-    let rest = near.iter().map(|one| origin(one));
-    let all = above(near, place, fan).chain(rest);
-    let mut nearest = distinct(all.filter(|one| *one != me));
-    nearest.truncate(NEAR);
-    nearest
+/// Hosts of a failure domain that the one at `position` tries first: those by which updates reach
+/// it, then the first by rank.
+fn local_origins(near: &[&Candidate], position: usize, fanout: usize) -> Vec<Origin> {
+    let me = origin(near[position]);
+    let rest = near.iter().map(|candidate| origin(candidate));
+    let all = ancestors(near, position, fanout).chain(rest);
+    let mut local_origins = distinct(all.filter(|origin| *origin != me));
+    local_origins.truncate(MAX_NEAR);
+    local_origins
 }
 
 /// All hosts in order of rank.
 fn rank<'a>(me: &'a Candidate, others: &'a [Candidate]) -> Vec<&'a Candidate> {
     let mut ranked: Vec<&Candidate> = others.iter().chain(std::iter::once(me)).collect();
-    ranked.sort_by_cached_key(|one| std::cmp::Reverse(rendezvous::weight(KEY, &one.host)));
+    ranked.sort_by_cached_key(|candidate| {
+        std::cmp::Reverse(rendezvous::weight(RANK_KEY, &candidate.host))
+    });
     ranked.dedup_by(|a, b| a.host == b.host);
     ranked
 }
 
-/// The hosts by which updates reach the one at `place` if each forwards them to `fan` others, the
-/// nearest first.
-fn above<'a>(
+/// The hosts by which updates reach the one at `position` if each forwards them to `fanout` others,
+/// the nearest first.
+fn ancestors<'a>(
     ranked: &'a [&Candidate],
-    place: usize,
-    fan: usize,
+    position: usize,
+    fanout: usize,
 ) -> impl Iterator<Item = Origin> + use<'a> {
-    let parent = move |place: usize| Some(place.checked_sub(1)? / fan);
-    let places = std::iter::successors(parent(place), move |place| parent(*place));
-    places.map(|place| origin(ranked[place]))
+    let parent = move |position: usize| Some(position.checked_sub(1)? / fanout);
+    let positions = std::iter::successors(parent(position), move |position| parent(*position));
+    positions.map(|position| origin(ranked[position]))
 }
 
 /// The first host of each failure domain, in order of rank.
 fn heads<'a>(ranked: &[&'a Candidate]) -> Vec<&'a Candidate> {
     let mut heads: Vec<&Candidate> = Vec::new();
-    for one in ranked {
-        if heads.iter().all(|head| head.domain != one.domain) {
-            heads.push(one);
+    for candidate in ranked {
+        if heads.iter().all(|head| head.domain != candidate.domain) {
+            heads.push(candidate);
         }
     }
     heads
--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -19,9 +19,9 @@
 
 /// A poll and when it was sent.
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct Poll {
     number: PollNumber,
-    asked: Time,
+    sent: Time,
 }
 
 /// What to do after a message of an origin.
@@ -40,7 +40,7 @@
 
 impl std::fmt::Display for UnexpectedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "question {} is not open", self.0)
+        write!(f, "poll {} is not outstanding", self.0)
     }
 }
 
@@ -48,10 +48,10 @@
 #[derive(Debug)]
 pub struct Polls {
     /// The last poll that was answered, or the first before there is an answer.
-    last: Question,
+    last_answered: Poll,
     /// Unanswered polls sent after it.
     // INVARIANT: Neither numbers nor times decrease.
-    open: VecDeque<Question>,
+    outstanding: VecDeque<Poll>,
     next: PollNumber,
 }
 
@@ -59,11 +59,11 @@
     /// Starts with the first poll, which is sent now.
     pub fn start(now: Time) -> Self {
         Self {
-            last: Question {
+            last_answered: Poll {
                 number: 0,
-                asked: now,
+                sent: now,
             },
-            open: VecDeque::new(),
+            outstanding: VecDeque::new(),
             next: 1,
         }
     }
@@ -72,8 +72,8 @@
     pub fn send(&mut self, now: Time) -> PollNumber {
         let number = self.next;
         self.next += 1;
-        let asked = now;
-        self.open.push_back(Question { number, asked });
+        let sent = now;
+        self.outstanding.push_back(Poll { number, sent });
         number
     }
 
@@ -83,19 +83,22 @@
     ///
     /// When that poll is not outstanding.
     pub fn receive(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
-        let is_answer = number != self.last.number;
-        while self.last.number != number {
-            self.last = self.open.pop_front().ok_or(UnexpectedAnswer(number))?;
+        let is_answer = number != self.last_answered.number;
+        while self.last_answered.number != number {
+            self.last_answered = self
+                .outstanding
+                .pop_front()
+                .ok_or(UnexpectedAnswer(number))?;
         }
-        match is_answer || !self.open.is_empty() {
+        match is_answer || !self.outstanding.is_empty() {
             true => Ok(Reaction::Answer),
             false => Ok(Reaction::Ask),
         }
     }
 
-    /// Age of data that was `told` old when the last message was written.
-    pub fn age(&self, now: Time, told: Duration) -> Duration {
-        now.saturating_sub(self.last.asked) + told
+    /// Age of data that was `age_when_sent` old when the last message was written.
+    pub fn age(&self, now: Time, age_when_sent: Duration) -> Duration {
+        now.saturating_sub(self.last_answered.sent) + age_when_sent
     }
 }
 
--- a/crates/lentillift-fleet/src/follow/relay_path.rs
+++ b/crates/lentillift-fleet/src/follow/relay_path.rs
@@ -10,10 +10,10 @@
 
 /// Maximum length of a relay path: seven hosts are usual in a fleet of 760, and each origin that is
 /// replaced by a neighbour adds one.
-pub const MOST: usize = 12;
+pub const MAX_HOSTS: usize = 12;
 
 /// Hosts by which data was relayed, the one that read the service first.
-// INVARIANT: No host occurs twice, and there are at most `MOST`.
+// INVARIANT: No host occurs twice, and there are at most `MAX_HOSTS`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RelayPath {
     hosts: Vec<id::Host>,
@@ -33,9 +33,9 @@
 impl std::fmt::Display for Refused {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Ring => "its knowledge comes from this host",
-            Self::Repeated => "the way of its knowledge names a host twice",
-            Self::TooLong => "the way of its knowledge is too long",
+            Self::Ring => "its data was relayed by this host",
+            Self::Repeated => "the relay path of its data contains a host twice",
+            Self::TooLong => "the relay path of its data is too long",
         })
     }
 }
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Relay path of data that `me` received from an origin whose path is `told`.
+    /// Relay path of data that `me` received from an origin whose path is `upstream`.
     ///
     /// # Errors
     ///
-    /// When `told` contains `me` or is invalid.
-    pub fn extend(told: &[id::Host], me: &id::Host) -> Result<Self, Refused> {
-        if told.len() >= MOST {
+    /// When `upstream` contains `me` or is invalid.
+    pub fn extend(upstream: &[id::Host], me: &id::Host) -> Result<Self, Refused> {
+        if upstream.len() >= MAX_HOSTS {
             return Err(Refused::TooLong);
         }
-        if told.contains(me) {
+        if upstream.contains(me) {
             return Err(Refused::Ring);
         }
-        let repeated = (1..told.len()).any(|i| told[..i].contains(&told[i]));
+        let repeated = (1..upstream.len()).any(|i| upstream[..i].contains(&upstream[i]));
         if repeated {
             return Err(Refused::Repeated);
         }
-        let mut hosts = told.to_vec();
+        let mut hosts = upstream.to_vec();
         hosts.push(me.clone());
         Ok(Self { hosts })
     }
--- a/crates/lentillift-fleet/src/follow/search.rs
+++ b/crates/lentillift-fleet/src/follow/search.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 /// Time for which an origin other than the best is kept before the best is tried again.
-const HOLD: Duration = Duration::from_secs(4);
+const FALLBACK_TIME: Duration = Duration::from_secs(4);
 
 /// Minimum time between two failed calls of one host to the service; calls that were turned away
 /// count too.
-const SERVICE_PAUSE: Duration = Duration::from_millis(1500);
+const SERVICE_RETRY_PAUSE: Duration = Duration::from_millis(1500);
 
 /// Next step of the search.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -64,11 +64,11 @@
 
     /// Next step, given the origins with the best first and how much time is left.
     pub fn next(&mut self, order: &[Origin], urgency: Urgency, now: Time) -> Next {
-        let early = self
+        let is_pausing = self
             .service_failed
-            .is_some_and(|at| now < at + SERVICE_PAUSE);
+            .is_some_and(|at| now < at + SERVICE_RETRY_PAUSE);
         let is_usable = |origin: &&Origin| {
-            let refuses = early && **origin == Origin::Service;
+            let refuses = is_pausing && **origin == Origin::Service;
             !refuses && !self.failed.contains(origin)
         };
         let service = order.iter().find(|origin| **origin == Origin::Service);
@@ -82,7 +82,7 @@
         let is_best = order.first() == Some(&origin);
         Next::Try {
             origin,
-            until: (!is_best).then(|| now + HOLD),
+            until: (!is_best).then(|| now + FALLBACK_TIME),
         }
     }
 
--- a/crates/lentillift-fleet/src/freshness.rs
+++ b/crates/lentillift-fleet/src/freshness.rs
@@ -14,19 +14,19 @@
     /// Longest time between two ticks that does not count as a pause.
     ///
     /// Ten tick periods: a busy host delays a tick by tens of milliseconds, rarely by more.
-    pub pause: Duration,
+    pub max_tick_gap: Duration,
     /// Longest time without proof that any peer or the service can be reached.
     ///
     /// Six probe periods: with one packet in ten lost, six failures in a row happen once in
     /// millions of cases.
-    pub cut: Duration,
+    pub max_proof_age: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            pause: Duration::from_secs(1),
-            cut: Duration::from_secs(3),
+            max_tick_gap: Duration::from_secs(1),
+            max_proof_age: Duration::from_secs(3),
         }
     }
 }
@@ -35,12 +35,12 @@
 #[derive(Debug)]
 pub struct Freshness {
     options: Options,
-    ticked: Time,
+    last_tick: Time,
     /// When the latest request that was answered had been sent.
     proof: Option<Time>,
     /// Answers to requests sent before this time prove nothing.
     // INVARIANT: The end of the latest pause.
-    awake: Time,
+    resumed: Time,
 }
 
 impl Freshness {
@@ -48,45 +48,47 @@
     pub fn new(options: Options, now: Time) -> Self {
         Self {
             options,
-            ticked: now,
+            last_tick: now,
             proof: None,
-            awake: now,
+            resumed: now,
         }
     }
 
     /// Records that time has passed; returns how long the process was paused, if it was.
     pub fn tick(&mut self, now: Time) -> Option<Duration> {
-        let gap = now.saturating_sub(self.ticked);
-        self.ticked = now;
-        if gap < self.options.pause {
+        let gap = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
+        if gap < self.options.max_tick_gap {
             return None;
         }
         // An answer that waited in a socket during the pause says nothing about the present. Only a
         // request that is sent from now on can prove that somebody can be reached.
-        self.awake = now;
+        self.resumed = now;
         self.proof = None;
         Some(gap)
     }
 
     /// Records that a request sent at `sent` has been answered.
     pub fn prove(&mut self, sent: Time) {
-        if sent >= self.awake {
+        if sent >= self.resumed {
             self.proof = self.proof.max(Some(sent));
         }
     }
 
     /// Time since the latest answered request was sent.
     pub fn age(&self, now: Time) -> Duration {
-        now.saturating_sub(self.proof.unwrap_or(self.awake))
+        now.saturating_sub(self.proof.unwrap_or(self.resumed))
     }
 
     /// Deadline until which this process may act on its state, unless it is renewed.
     ///
     /// It is at most one allowed tick gap after the last tick: code that reads the clock right
     /// after a pause, before any tick could detect the pause, finds the deadline passed.
-    pub fn until(&self) -> Time {
+    pub fn deadline(&self) -> Time {
         match self.proof {
-            Some(proof) => (proof + self.options.cut).min(self.ticked + self.options.pause),
+            Some(proof) => {
+                (proof + self.options.max_proof_age).min(self.last_tick + self.options.max_tick_gap)
+            }
             None => Time::ZERO,
         }
     }
--- a/crates/lentillift-fleet/src/gossip.rs
+++ b/crates/lentillift-fleet/src/gossip.rs
@@ -26,11 +26,11 @@
 
 #[derive(Debug)]
 struct Item {
-    news: Update,
+    update: Update,
     /// Number of times that the update is still to be sent.
-    left: u32,
+    sends_left: u32,
     /// Whether the update has not been sent yet.
-    new: bool,
+    unsent: bool,
 }
 
 /// Updates that this process still has to spread.
@@ -41,52 +41,52 @@
 
 impl Queue {
     /// Adds an update, to be sent often enough to reach all of `hosts`.
-    pub fn push(&mut self, news: Update, hosts: usize) {
-        let subject = match &news {
+    pub fn push(&mut self, update: Update, hosts: usize) {
+        let subject = match &update {
             Update::Member(member) => Subject::Host(member.host.clone()),
             Update::Value(key, _) => Subject::Key(key.clone()),
         };
         let doublings = usize::BITS - hosts.leading_zeros();
         let item = Item {
-            news,
-            left: COPIES * doublings.max(1),
-            new: true,
+            update,
+            sends_left: COPIES * doublings.max(1),
+            unsent: true,
         };
         self.items.insert(subject, item);
     }
 
     /// Whether some update has not been sent to anybody yet.
-    pub fn has_new(&self) -> bool {
-        self.items.values().any(|item| item.new)
+    pub fn has_unsent(&self) -> bool {
+        self.items.values().any(|item| item.unsent)
     }
 
-    /// Takes updates for one datagram, and adds `against`, a record by which its receiver is
+    /// Takes updates for one datagram, and adds `accusation`, a record by which its receiver is
     /// suspect, dead or gone.
-    pub fn take_with(&mut self, against: Option<Member>) -> Vec<Update> {
-        let against = against.map(Update::Member);
-        let mut news = self.take(against.as_ref().map_or(0, Update::bytes));
-        news.extend(against);
-        news
+    pub fn take_with(&mut self, accusation: Option<Member>) -> Vec<Update> {
+        let accusation = accusation.map(Update::Member);
+        let mut updates = self.take(accusation.as_ref().map_or(0, Update::bytes));
+        updates.extend(accusation);
+        updates
     }
 
     /// Takes updates for one datagram with `used` bytes of other updates, those sent least often
     /// first.
     pub fn take(&mut self, used: usize) -> Vec<Update> {
         let mut order: Vec<&mut Item> = self.items.values_mut().collect();
-        order.sort_by_key(|item| std::cmp::Reverse((item.new, item.left)));
-        let mut room = UPDATES_BYTES.saturating_sub(used);
+        order.sort_by_key(|item| std::cmp::Reverse((item.unsent, item.sends_left)));
+        let mut space = UPDATES_BYTES.saturating_sub(used);
         let mut taken = Vec::new();
         for item in order {
-            let bytes = item.news.bytes();
-            if bytes > room {
+            let bytes = item.update.bytes();
+            if bytes > space {
                 continue;
             }
-            room -= bytes;
-            item.left -= 1;
-            item.new = false;
-            taken.push(item.news.clone());
+            space -= bytes;
+            item.sends_left -= 1;
+            item.unsent = false;
+            taken.push(item.update.clone());
         }
-        self.items.retain(|_, item| item.left > 0);
+        self.items.retain(|_, item| item.sends_left > 0);
         taken
     }
 }
--- a/crates/lentillift-fleet/src/grant.rs
+++ b/crates/lentillift-fleet/src/grant.rs
@@ -36,7 +36,7 @@
     pub ceded_by: Option<Holder>,
     /// Revision of the host list that the claimant uses.
     pub revision: id::Revision,
-    /// Highest revision of the host list whose earlier guardians can no longer grant.
+    /// Revision of the host list; guardians that are only on older lists can no longer grant.
     pub sealed: id::Revision,
 }
 
@@ -85,13 +85,13 @@
 
 /// All grants of one guardian.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Register {
+pub struct GrantTable {
     options: Options,
     started: Time,
     grants: BTreeMap<id::Backend, Grant>,
 }
 
-impl Register {
+impl GrantTable {
     /// Starts at `now`, without any record of what an earlier incarnation granted.
     pub fn new(now: Time, options: Options) -> Self {
         Self {
--- a/crates/lentillift-fleet/src/guardian.rs
+++ b/crates/lentillift-fleet/src/guardian.rs
@@ -14,14 +14,14 @@
 /// Maximum number of guardians of one backend server.
 ///
 /// Three tolerate the loss of one; five would tolerate two at the cost of two thirds more messages.
-pub const MOST: usize = 3;
+pub const MAX_COUNT: usize = 3;
 
 /// Chooses the guardians of `backend` in `domain`: the hosts with the highest weights, of different
 /// failure domains.
 ///
 /// They are in the backend server's region, so that regions that lose contact with each other both
 /// keep their majorities; otherwise half of all backend servers would have no holder on their own
-/// side. With fewer domains than [`MOST`], further hosts of the same domains fill the places,
+/// side. With fewer domains than [`MAX_COUNT`], further hosts of the same domains fill the places,
 /// so that the loss of one host still leaves a majority.
 pub fn choose(backend: &str, domain: &str, roster: &Roster) -> Vec<id::Host> {
     let region = roster.regions.get(domain);
@@ -36,28 +36,28 @@
         *best = weighed.max(*best);
     }
     let mut chosen: Vec<_> = first.into_values().collect();
-    if chosen.len() < MOST {
+    if chosen.len() < MAX_COUNT {
         let taken: BTreeSet<_> = chosen.iter().map(|(_, host)| *host).collect();
         let rest = live.filter(|(host, _)| !taken.contains(host));
         let mut rest: Vec<_> = rest.map(|(host, _)| (key.weight(host), host)).collect();
         rest.sort_unstable_by(|a, b| b.cmp(a));
-        rest.truncate(MOST - chosen.len());
+        rest.truncate(MAX_COUNT - chosen.len());
         chosen.extend(rest);
     }
     chosen.sort_unstable_by(|a, b| b.cmp(a));
-    chosen.truncate(MOST);
+    chosen.truncate(MAX_COUNT);
     chosen.into_iter().map(|(_, host)| host.clone()).collect()
 }
 
 /// Moves the guardian in the backend server's own failure domain to the front, if there is one.
 ///
 /// Only the order depends on the domain; a majority of the same set stays the same majority.
-pub fn prefer(guardians: &mut [id::Host], roster: &Roster, domain: &id::Domain) {
-    let near = |host: &id::Host| {
+pub fn prefer_domain(guardians: &mut [id::Host], roster: &Roster, domain: &id::Domain) {
+    let is_local = |host: &id::Host| {
         let entry = roster.hosts.get(host);
         entry.is_some_and(|entry| entry.domain == *domain)
     };
-    guardians.sort_by_key(|host| !near(host));
+    guardians.sort_by_key(|host| !is_local(host));
 }
 
 /// Size of a majority of `count` guardians.
--- a/crates/lentillift-fleet/src/lease.rs
+++ b/crates/lentillift-fleet/src/lease.rs
@@ -36,7 +36,7 @@
 
 /// Guardians of an earlier host list, which may still grant to a process that uses that list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Prior {
+struct PreviousGuardians {
     hosts: Vec<id::Host>,
     /// Revision of the list that replaced the earlier one.
     replaced_by: id::Revision,
@@ -56,8 +56,8 @@
     /// Revision of that list.
     pub revision: id::Revision,
     /// Earlier guardians that are not known to use a newer list, oldest first.
-    prior: Vec<Prior>,
-    /// Highest revision of the list whose earlier guardians can no longer grant.
+    prior: Vec<PreviousGuardians>,
+    /// Revision of the host list; guardians that are only on older lists can no longer grant.
     // INVARIANT: Never decreases, and no element of `prior` was replaced by this or an earlier
     // revision.
     sealed: id::Revision,
@@ -82,7 +82,7 @@
         sorted.1.sort_unstable();
         let old = std::mem::replace(&mut self.current, current);
         if sorted.0 != sorted.1 && !old.is_empty() && self.sealed < revision {
-            let prior = Prior {
+            let prior = PreviousGuardians {
                 hosts: old,
                 replaced_by: revision,
                 since: now,
@@ -98,7 +98,7 @@
         self.prior.retain(|prior| prior.replaced_by > sealed);
     }
 
-    /// Highest revision of the list whose earlier guardians can no longer grant.
+    /// Revision of the host list; guardians that are only on older lists can no longer grant.
     pub fn sealed(&self) -> id::Revision {
         self.sealed
     }
@@ -109,8 +109,9 @@
         since.max().unwrap_or_default()
     }
 
-    /// Drops earlier guardians whose majority left the list at least `settle` ago.
-    pub fn settle<F>(&mut self, now: Time, settle: Duration, listed: F)
+    /// Drops earlier guardians most of whom have left the list, once `settle` has passed since the
+    /// change.
+    pub fn drop_departed<F>(&mut self, now: Time, settle: Duration, listed: F)
     where
         F: Fn(&id::Host) -> bool,
     {
@@ -173,7 +174,7 @@
     }
 
     /// Records a grant that answers a claim sent at `sent`.
-    pub fn granted(&mut self, host: &id::Host, sent: Time, options: &Options) {
+    pub fn record_grant(&mut self, host: &id::Host, sent: Time, options: &Options) {
         let until = sent + options.term.saturating_sub(options.drift);
         let old = self.grants.entry(host.clone()).or_default();
         *old = until.max(*old);
--- a/crates/lentillift-fleet/src/lease_manager.rs
+++ b/crates/lentillift-fleet/src/lease_manager.rs
@@ -14,14 +14,14 @@
 use crate::grant;
 use crate::grant::Attempt;
 use crate::grant::Claim;
+use crate::grant::GrantTable;
 use crate::grant::Holder;
-use crate::grant::Register;
 use crate::lease;
 use crate::lease::Quorum;
 use crate::view::View;
 use lentillift_core::id;
 use lentillift_core::time::Time;
-use stage::Place;
+use stage::Entry;
 use stage::Stage;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -137,8 +137,8 @@
     options: Options,
     started: Time,
     view: Arc<View>,
-    register: Register,
-    places: BTreeMap<id::Backend, Place>,
+    grants: GrantTable,
+    entries: BTreeMap<id::Backend, Entry>,
     attempts: Attempt,
     next_renewal: Time,
     next_retry: Time,
@@ -154,8 +154,8 @@
             options,
             started: now,
             view: Arc::default(),
-            register: Register::new(now, grant::Options { term }),
-            places: BTreeMap::new(),
+            grants: GrantTable::new(now, grant::Options { term }),
+            entries: BTreeMap::new(),
             attempts: 0,
             next_renewal: now,
             next_retry: now,
@@ -165,7 +165,7 @@
 
     /// Whether this process grants: a full term has passed since its start.
     pub fn is_settled(&self, now: Time) -> bool {
-        self.register.is_settled(now)
+        self.grants.is_settled(now)
     }
 
     /// Whether the backend servers that this process guards have holders, or had time to get them.
@@ -173,42 +173,42 @@
     /// If a process reported itself ready at once, a rolling restart would go on while it grants
     /// nothing yet; with the next one down, no majority would be left.
     pub fn is_ready(&self, now: Time) -> bool {
-        let held = |backend| self.register.holder(now, backend).is_some();
+        let held = |backend| self.grants.holder(now, backend).is_some();
         let late = now >= self.started + self.options.lease.term * 2;
-        self.is_settled(now) && (late || self.places.keys().all(held))
+        self.is_settled(now) && (late || self.entries.keys().all(held))
     }
 
     /// Whether this process may send work to `backend`.
     pub fn lease_state(&self, now: Time, backend: &id::Backend) -> LeaseState {
-        let Some(place) = self.places.get(backend) else {
+        let Some(entry) = self.entries.get(backend) else {
             return LeaseState::No(None);
         };
-        match &place.stage {
+        match &entry.stage {
             Stage::Idle { holder, .. } => {
-                let granted = self.register.holder(now, backend);
+                let granted = self.grants.holder(now, backend);
                 let holder = granted.or(holder.as_ref());
                 let other = holder.filter(|holder| **holder != self.host).cloned();
-                LeaseState::No(other.or_else(|| self.likely(backend)))
+                LeaseState::No(other.or_else(|| self.likely_holder(backend)))
             }
-            Stage::Claiming { transfer: None, .. } => LeaseState::No(self.likely(backend)),
+            Stage::Claiming { transfer: None, .. } => LeaseState::No(self.likely_holder(backend)),
             Stage::Claiming { .. } | Stage::Ceding { .. } => LeaseState::Pending,
-            Stage::Holding { lease } => LeaseState::Until(lease.until(&place.quorum)),
+            Stage::Holding { lease } => LeaseState::Until(lease.until(&entry.quorum)),
             Stage::Ceded { .. } => LeaseState::Pending,
         }
     }
 
     /// The backend servers that this process holds.
     pub fn held(&self) -> impl Iterator<Item = &id::Backend> {
-        let places = self.places.iter();
-        let held = places.filter(|(_, place)| matches!(place.stage, Stage::Holding { .. }));
+        let entries = self.entries.iter();
+        let held = entries.filter(|(_, entry)| matches!(entry.stage, Stage::Holding { .. }));
         held.map(|(backend, _)| backend)
     }
 
     /// The backend servers that wait for requests in flight before they are handed over, each with
     /// whether the wait is over.
     pub fn ceding(&self, now: Time) -> Vec<(id::Backend, bool)> {
-        let ceding = self.places.iter().filter_map(|(backend, place)| {
-            let Stage::Ceding { since, .. } = place.stage else {
+        let ceding = self.entries.iter().filter_map(|(backend, entry)| {
+            let Stage::Ceding { since, .. } = entry.stage else {
                 return None;
             };
             Some((backend.clone(), now >= since + self.options.drain))
@@ -218,7 +218,7 @@
 
     /// Whether nothing is held, claimed or being handed over.
     pub fn is_empty(&self) -> bool {
-        let mut stages = self.places.values().map(|place| &place.stage);
+        let mut stages = self.entries.values().map(|entry| &entry.stage);
         stages.all(|stage| matches!(stage, Stage::Idle { .. }))
     }
 
@@ -233,13 +233,13 @@
         };
         let old_revision = old.values.roster.as_ref().map(|old| old.revision);
         for (name, backend) in view.backends.iter() {
-            let guards = backend.guardians.contains(&self.host);
-            if let Some(place) = self.places.get_mut(name) {
-                if place.quorum.revision != roster.revision {
+            let is_guardian = backend.guardians.contains(&self.host);
+            if let Some(entry) = self.entries.get_mut(name) {
+                if entry.quorum.revision != roster.revision {
                     let guardians = backend.guardians.clone();
-                    place.quorum.change(now, guardians, roster.revision);
+                    entry.quorum.change(now, guardians, roster.revision);
                 }
-            } else if guards {
+            } else if is_guardian {
                 let known = old.backends.get(name);
                 let known = known.filter(|known| known.guardians != backend.guardians);
                 let mut quorum = match (known, old_revision) {
@@ -250,15 +250,14 @@
                     quorum.change(now, backend.guardians.clone(), roster.revision);
                 }
                 let stage = Stage::idle(now);
-                self.places.insert(name.clone(), Place { quorum, stage });
+                self.entries.insert(name.clone(), Entry { quorum, stage });
             }
         }
         let host = &self.host;
-        self.register
-            .retain(|name| view.backends.contains_key(name));
-        self.places.retain(|name, place| {
+        self.grants.retain(|name| view.backends.contains_key(name));
+        self.entries.retain(|name, entry| {
             let known = view.backends.get(name);
-            let idle = matches!(place.stage, Stage::Idle { .. });
+            let idle = matches!(entry.stage, Stage::Idle { .. });
             known.is_some_and(|known| !idle || known.guardians.contains(host))
         });
         self.next_renewal = now;
@@ -278,9 +277,9 @@
         }
         let mut effects = Vec::new();
         let mut due = Vec::new();
-        let names: Vec<id::Backend> = self.places.keys().cloned().collect();
+        let names: Vec<id::Backend> = self.entries.keys().cloned().collect();
         for name in names {
-            self.settle(now, &name);
+            self.drop_departed_guardians(now, &name);
             effects.extend(self.advance(now, &name));
             if self.is_due(&name, renew, retry) {
                 due.push(name);
--- a/crates/lentillift-fleet/src/lease_manager/claim.rs
+++ b/crates/lentillift-fleet/src/lease_manager/claim.rs
@@ -2,7 +2,7 @@
 
 use super::Effect;
 use super::LeaseManager;
-use super::stage::Place;
+use super::stage::Entry;
 use super::stage::Stage;
 use crate::grant::Attempt;
 use crate::grant::Claim;
@@ -14,28 +14,28 @@
 
 impl LeaseManager {
     /// Drops earlier guardians that can no longer grant.
-    pub(super) fn settle(&mut self, now: Time, name: &id::Backend) {
+    pub(super) fn drop_departed_guardians(&mut self, now: Time, name: &id::Backend) {
         let settle = self.options.lease.settle;
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
         let roster = self.view.values.roster.as_ref();
         let listed = |host: &id::Host| roster.is_some_and(|list| list.hosts.contains_key(host));
-        place.quorum.settle(now, settle, listed);
+        entry.quorum.drop_departed(now, settle, listed);
     }
 
     /// Moves one backend server to its next stage, if one is due.
     pub(super) fn advance(&mut self, now: Time, name: &id::Backend) -> Vec<Effect> {
         let successor = self.successor(name);
-        let wants = self.wants(now, name);
+        let should_claim = self.should_claim(now, name);
         let attempt = self.attempts + 1;
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        match &place.stage {
-            Stage::Idle { .. } if wants => {
+        match &entry.stage {
+            Stage::Idle { .. } if should_claim => {
                 self.attempts = attempt;
-                place.stage = Stage::Claiming {
+                entry.stage = Stage::Claiming {
                     lease: Lease::new(attempt),
                     since: now,
                     transfer: None,
@@ -44,24 +44,24 @@
                 Vec::new()
             }
             Stage::Claiming { since, .. } if now >= *since + self.options.retry * 2 => {
-                self.give_up(now, name)
+                self.abandon_claim(now, name)
             }
-            Stage::Holding { lease } if now >= lease.until(&place.quorum) => {
-                place.stage = Stage::idle(now);
+            Stage::Holding { lease } if now >= lease.until(&entry.quorum) => {
+                entry.stage = Stage::idle(now);
                 vec![Effect::Changed(name.clone())]
             }
             Stage::Holding { .. } => match successor {
                 Some(to) => self.cede(now, name, to),
                 None => Vec::new(),
             },
-            Stage::Ceding { lease, .. } if now >= lease.until(&place.quorum) => {
-                place.stage = Stage::idle(now);
+            Stage::Ceding { lease, .. } if now >= lease.until(&entry.quorum) => {
+                entry.stage = Stage::idle(now);
                 vec![Effect::Changed(name.clone())]
             }
             Stage::Ceded { to, since } if now >= *since + self.options.confirm => {
                 let holder = Some(to.clone());
                 let retry = now + self.options.renew;
-                place.stage = Stage::Idle { retry, holder };
+                entry.stage = Stage::Idle { retry, holder };
                 vec![Effect::Changed(name.clone())]
             }
             _ => Vec::new(),
@@ -69,22 +69,22 @@
     }
 
     /// Whether this process should claim a backend server that it does not hold.
-    pub(super) fn wants(&self, now: Time, name: &id::Backend) -> bool {
-        let Some(Place {
+    pub(super) fn should_claim(&self, now: Time, name: &id::Backend) -> bool {
+        let Some(Entry {
             stage: Stage::Idle { retry, .. },
             ..
-        }) = self.places.get(name)
+        }) = self.entries.get(name)
         else {
             return false;
         };
         let candidate = !self.leaving && !self.view.is_out(&self.host);
-        if !candidate || now < *retry || !self.register.is_settled(now) {
+        if !candidate || now < *retry || !self.grants.is_settled(now) {
             return false;
         }
         let Some(rank) = self.rank(name, &self.host) else {
             return false;
         };
-        let vacant = self.register.vacant_from(name) + self.options.stagger * rank as u32;
+        let vacant = self.grants.vacant_from(name) + self.options.stagger * rank as u32;
         // The first guardian also claims servers that another process holds, once it has run for a
         // while.
         let returns = rank == 0 && now >= self.started + self.options.settle;
@@ -108,7 +108,7 @@
         let stays = !self.leaving && self.rank(name, &self.host).is_some();
         match stays {
             true => None,
-            false => self.likely(name),
+            false => self.likely_holder(name),
         }
     }
 
@@ -119,7 +119,7 @@
     /// does not know which hosts took them over before it started. If it refused without naming a
     /// host, shards would be missing until it holds them itself, three seconds at each restart; the
     /// next guardian knows the holder.
-    pub(super) fn likely(&self, name: &id::Backend) -> Option<id::Host> {
+    pub(super) fn likely_holder(&self, name: &id::Backend) -> Option<id::Host> {
         let backend = self.view.backends.get(name)?;
         let able = |host: &&id::Host| {
             **host != self.host && self.view.alive.contains(*host) && !self.view.is_out(host)
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn is_due(&self, name: &id::Backend, renew: bool, retry: bool) -> bool {
-        match self.places.get(name).map(|place| &place.stage) {
+        match self.entries.get(name).map(|entry| &entry.stage) {
             Some(Stage::Holding { .. } | Stage::Ceding { .. }) => renew,
             Some(Stage::Claiming { lease, .. }) => retry || lease.is_new(),
             _ => false,
@@ -139,20 +139,20 @@
     pub(super) fn send_claims(&self, now: Time, names: &[id::Backend]) -> Vec<Effect> {
         let mut batches: BTreeMap<id::Host, Vec<Claim>> = BTreeMap::new();
         for name in names {
-            let Some(place) = self.places.get(name) else {
+            let Some(entry) = self.entries.get(name) else {
                 continue;
             };
-            let Some((lease, transfer)) = place.stage.lease() else {
+            let Some((lease, transfer)) = entry.stage.lease() else {
                 continue;
             };
             let claim = Claim {
                 backend: name.clone(),
                 attempt: lease.attempt,
                 ceded_by: transfer.map(|transfer| transfer.from.clone()),
-                revision: place.quorum.revision,
-                sealed: place.quorum.sealed(),
+                revision: entry.quorum.revision,
+                sealed: entry.quorum.sealed(),
             };
-            for host in place.quorum.hosts() {
+            for host in entry.quorum.hosts() {
                 batches.entry(host).or_default().push(claim.clone());
             }
         }
@@ -174,14 +174,14 @@
     ) -> Vec<Effect> {
         let verdicts = verdicts.into_iter();
         let effects = verdicts.flat_map(|(name, attempt, verdict)| match verdict {
-            Verdict::Granted => self.one_granted(now, by, sent, &name, attempt),
-            Verdict::Held(host) => self.one_held(now, &name, attempt, host),
+            Verdict::Granted => self.handle_grant(now, by, sent, &name, attempt),
+            Verdict::Held(host) => self.handle_held(now, &name, attempt, host),
             Verdict::Starting | Verdict::Outdated => Vec::new(),
         });
         effects.collect()
     }
 
-    pub(super) fn one_granted(
+    pub(super) fn handle_grant(
         &mut self,
         now: Time,
         by: &id::Host,
@@ -190,22 +190,22 @@
         attempt: Attempt,
     ) -> Vec<Effect> {
         let options = self.options.lease;
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        let Some(lease) = place.stage.lease_mut(attempt) else {
+        let Some(lease) = entry.stage.lease_mut(attempt) else {
             return Vec::new();
         };
-        lease.granted(by, sent, &options);
-        if now >= lease.until(&place.quorum) {
+        lease.record_grant(by, sent, &options);
+        if now >= lease.until(&entry.quorum) {
             return Vec::new();
         }
-        if lease.seals(&place.quorum, &options) {
-            place.quorum.seal(place.quorum.revision);
+        if lease.seals(&entry.quorum, &options) {
+            entry.quorum.seal(entry.quorum.revision);
         }
         let Stage::Claiming {
             lease, transfer, ..
-        } = &mut place.stage
+        } = &mut entry.stage
         else {
             return vec![Effect::Changed(name.clone())];
         };
@@ -214,7 +214,7 @@
             to: transfer.from.host.clone(),
             backend: name.clone(),
         });
-        place.stage = Stage::Holding {
+        entry.stage = Stage::Holding {
             lease: lease.clone(),
         };
         let acquired = Effect::Acquired {
@@ -224,26 +224,26 @@
         std::iter::once(acquired).chain(confirm).collect()
     }
 
-    pub(super) fn one_held(
+    pub(super) fn handle_held(
         &mut self,
         now: Time,
         name: &id::Backend,
         attempt: Attempt,
         holder: id::Host,
     ) -> Vec<Effect> {
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        match &place.stage {
+        match &entry.stage {
             // During a hand-over the other guardians follow; one that is late is no reason to stop.
             Stage::Claiming {
                 lease,
                 transfer: None,
                 ..
             } if lease.attempt == attempt => {
-                let effects = self.give_up(now, name);
-                if let Some(place) = self.places.get_mut(name)
-                    && let Stage::Idle { holder: known, .. } = &mut place.stage
+                let effects = self.abandon_claim(now, name);
+                if let Some(entry) = self.entries.get_mut(name)
+                    && let Stage::Idle { holder: known, .. } = &mut entry.stage
                 {
                     *known = Some(holder);
                 }
@@ -254,20 +254,20 @@
     }
 
     /// Releases the grants of an attempt that has failed.
-    pub(super) fn give_up(&mut self, now: Time, name: &id::Backend) -> Vec<Effect> {
+    pub(super) fn abandon_claim(&mut self, now: Time, name: &id::Backend) -> Vec<Effect> {
         let retry = now + self.options.renew;
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        let Some((lease, _)) = place.stage.lease() else {
+        let Some((lease, _)) = entry.stage.lease() else {
             return Vec::new();
         };
         let attempt = lease.attempt;
-        place.stage = Stage::Idle {
+        entry.stage = Stage::Idle {
             retry,
             holder: None,
         };
-        let hosts = place.quorum.hosts().into_iter();
+        let hosts = entry.quorum.hosts().into_iter();
         let released = hosts.map(|to| Effect::Release {
             to,
             released: vec![(name.clone(), attempt)],
--- a/crates/lentillift-fleet/src/lease_manager/guard.rs
+++ b/crates/lentillift-fleet/src/lease_manager/guard.rs
@@ -26,12 +26,12 @@
                 incarnation,
                 attempt: claim.attempt,
             };
-            let verdict = self.register.claim(now, &from, claim);
-            if let Some(place) = self.places.get_mut(&claim.backend) {
-                place.quorum.seal(claim.sealed);
+            let verdict = self.grants.claim(now, &from, claim);
+            if let Some(entry) = self.entries.get_mut(&claim.backend) {
+                entry.quorum.seal(claim.sealed);
             }
             if matches!(&verdict, Verdict::Held(holder) if *holder == self.host) {
-                effects.extend(self.asked(now, &claim.backend, host));
+                effects.extend(self.handle_preferred_claim(now, &claim.backend, host));
             }
             verdicts.push(verdict);
         }
@@ -52,12 +52,12 @@
                 incarnation,
                 attempt: *attempt,
             };
-            self.register.release(now, name, &from);
+            self.grants.release(now, name, &from);
         }
     }
 
     /// Number of backend servers that this process guards, or still claims or holds.
     pub fn guarded_count(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 }
--- a/crates/lentillift-fleet/src/lease_manager/handover.rs
+++ b/crates/lentillift-fleet/src/lease_manager/handover.rs
@@ -12,8 +12,13 @@
 impl LeaseManager {
     /// Hands over a backend server to a guardian that has claimed it and is to be preferred as its
     /// holder.
-    pub(super) fn asked(&mut self, now: Time, name: &id::Backend, by: &id::Host) -> Vec<Effect> {
-        let holding = self.places.get(name);
+    pub(super) fn handle_preferred_claim(
+        &mut self,
+        now: Time,
+        name: &id::Backend,
+        by: &id::Host,
+    ) -> Vec<Effect> {
+        let holding = self.entries.get(name);
         let holding = holding.is_some_and(|p| matches!(p.stage, Stage::Holding { .. }));
         let (Some(theirs), Some(ours)) = (self.rank(name, by), self.rank(name, &self.host)) else {
             return Vec::new();
@@ -26,13 +31,13 @@
 
     /// Stops sending work to a backend server, to hand it over.
     pub(super) fn cede(&mut self, now: Time, name: &id::Backend, to: id::Host) -> Vec<Effect> {
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        let Stage::Holding { lease } = &place.stage else {
+        let Stage::Holding { lease } = &entry.stage else {
             return Vec::new();
         };
-        place.stage = Stage::Ceding {
+        entry.stage = Stage::Ceding {
             lease: lease.clone(),
             to,
             since: now,
@@ -44,8 +49,8 @@
     ///
     /// The caller must not send work after this, whatever becomes of the hand-over.
     pub fn hand_over(&mut self, now: Time, name: &id::Backend) -> Option<(id::Host, Holder)> {
-        let place = self.places.get_mut(name)?;
-        let Stage::Ceding { lease, to, .. } = &place.stage else {
+        let entry = self.entries.get_mut(name)?;
+        let Stage::Ceding { lease, to, .. } = &entry.stage else {
             return None;
         };
         let from = Holder {
@@ -54,7 +59,7 @@
             attempt: lease.attempt,
         };
         let to = to.clone();
-        place.stage = Stage::Ceded {
+        entry.stage = Stage::Ceded {
             to: to.clone(),
             since: now,
         };
@@ -67,13 +72,13 @@
         if self.leaving || self.view.is_out(&self.host) {
             return Vec::new();
         }
-        let Some(place) = self.places.get_mut(&name) else {
+        let Some(entry) = self.entries.get_mut(&name) else {
             return Vec::new();
         };
         let mut effects = Vec::new();
-        match &place.stage {
+        match &entry.stage {
             Stage::Idle { .. } => {}
-            Stage::Claiming { .. } => effects.extend(self.give_up(now, &name)),
+            Stage::Claiming { .. } => effects.extend(self.abandon_claim(now, &name)),
             _ => return Vec::new(),
         }
         self.attempts += 1;
@@ -82,8 +87,8 @@
             since: now,
             transfer: Some(transfer),
         };
-        if let Some(place) = self.places.get_mut(&name) {
-            place.stage = stage;
+        if let Some(entry) = self.entries.get_mut(&name) {
+            entry.stage = stage;
         }
         effects.push(Effect::Changed(name.clone()));
         effects.extend(self.send_claims(now, &[name]));
@@ -97,14 +102,14 @@
         name: &id::Backend,
         by: &id::Host,
     ) -> Vec<Effect> {
-        let Some(place) = self.places.get_mut(name) else {
+        let Some(entry) = self.entries.get_mut(name) else {
             return Vec::new();
         };
-        match &place.stage {
+        match &entry.stage {
             Stage::Ceded { to, .. } if to == by => {
                 let retry = now + self.options.renew;
                 let holder = Some(by.clone());
-                place.stage = Stage::Idle { retry, holder };
+                entry.stage = Stage::Idle { retry, holder };
                 vec![Effect::Changed(name.clone())]
             }
             _ => Vec::new(),
--- a/crates/lentillift-fleet/src/lease_manager/stage.rs
+++ b/crates/lentillift-fleet/src/lease_manager/stage.rs
@@ -36,7 +36,7 @@
 
 /// A backend server that this process guards, claims or holds.
 #[derive(Debug)]
-pub(super) struct Place {
+pub(super) struct Entry {
     pub(super) quorum: Quorum,
     pub(super) stage: Stage,
 }
--- a/crates/lentillift-fleet/src/lib.rs
+++ b/crates/lentillift-fleet/src/lib.rs
@@ -7,10 +7,8 @@
 
 #![forbid(unsafe_code)]
 
-mod boot;
-mod census;
+mod anti_entropy;
 pub mod core;
-mod drift;
 mod exchange;
 pub mod follow;
 pub mod freshness;
@@ -19,16 +17,18 @@
 pub mod guardian;
 pub mod lease;
 pub mod lease_manager;
-pub mod life;
+pub mod lifecycle;
 pub mod member;
 pub mod packet;
-mod picture;
+mod periodic;
 pub mod probe;
 pub mod quarantine;
 pub mod read;
 pub mod rendezvous;
 pub mod seen;
+mod stats;
 pub mod swim;
 pub mod sync;
 pub mod value;
 pub mod view;
+mod view_state;
--- a/crates/lentillift-fleet/src/life.rs
+++ b/crates/lentillift-fleet/src/lifecycle.rs
@@ -26,33 +26,33 @@
 
 /// This process in stage `S`.
 #[derive(Debug)]
-pub struct Life<S> {
+pub struct Lifecycle<S> {
     // INVARIANT: `member.stage` corresponds to `S`, and `member.health` is alive.
     member: Member,
     state: PhantomData<S>,
 }
 
-impl<S> Life<S> {
+impl<S> Lifecycle<S> {
     /// The record that the process announces of itself.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    fn become_next<T>(self, stage: Stage) -> Life<T> {
+    fn advance<T>(self, stage: Stage) -> Lifecycle<T> {
         let version = self.member.version + 1;
         let member = Member {
             version,
             stage,
             ..self.member
         };
-        Life {
+        Lifecycle {
             member,
             state: PhantomData,
         }
     }
 }
 
-impl Life<Starting> {
+impl Lifecycle<Starting> {
     /// Starts with the version and incarnation of `member`.
     pub fn start(member: Member) -> Self {
         let member = Member {
@@ -67,58 +67,58 @@
     }
 
     /// Accepts work from now on.
-    pub fn serve(self) -> Life<Serving> {
-        self.become_next(Stage::Serving)
+    pub fn serve(self) -> Lifecycle<Serving> {
+        self.advance(Stage::Serving)
     }
 
     /// Leaves before it has ever accepted work.
-    pub fn leave(self) -> Life<Leaving> {
-        self.become_next(Stage::Leaving)
+    pub fn leave(self) -> Lifecycle<Leaving> {
+        self.advance(Stage::Leaving)
     }
 }
 
-impl Life<Serving> {
+impl Lifecycle<Serving> {
     /// Accepts nothing new from now on.
-    pub fn leave(self) -> Life<Leaving> {
-        self.become_next(Stage::Leaving)
+    pub fn leave(self) -> Lifecycle<Leaving> {
+        self.advance(Stage::Leaving)
     }
 }
 
-impl Life<Leaving> {
+impl Lifecycle<Leaving> {
     /// Ends, with no work left.
-    pub fn end(self) -> Life<Gone> {
-        self.become_next(Stage::Gone)
+    pub fn end(self) -> Lifecycle<Gone> {
+        self.advance(Stage::Gone)
     }
 }
 
 /// This process in any stage.
 #[derive(Debug)]
-pub enum Any {
+pub enum AnyStage {
     /// See [`Starting`].
-    Starting(Life<Starting>),
+    Starting(Lifecycle<Starting>),
     /// See [`Serving`].
-    Serving(Life<Serving>),
+    Serving(Lifecycle<Serving>),
     /// See [`Leaving`].
-    Leaving(Life<Leaving>),
+    Leaving(Lifecycle<Leaving>),
     /// See [`Gone`].
-    Gone(Life<Gone>),
+    Gone(Lifecycle<Gone>),
 }
 
-impl Any {
+impl AnyStage {
     /// The record that the process announces of itself.
     pub fn member(&self) -> &Member {
         match self {
-            Self::Starting(life) => life.member(),
-            Self::Serving(life) => life.member(),
-            Self::Leaving(life) => life.member(),
-            Self::Gone(life) => life.member(),
+            Self::Starting(lifecycle) => lifecycle.member(),
+            Self::Serving(lifecycle) => lifecycle.member(),
+            Self::Leaving(lifecycle) => lifecycle.member(),
+            Self::Gone(lifecycle) => lifecycle.member(),
         }
     }
 
     /// Accepts work from now on, if it was starting.
     pub fn serve(self) -> Self {
         match self {
-            Self::Starting(life) => Self::Serving(life.serve()),
+            Self::Starting(lifecycle) => Self::Serving(lifecycle.serve()),
             other => other,
         }
     }
@@ -126,8 +126,8 @@
     /// Accepts nothing new from now on, unless it has ended.
     pub fn leave(self) -> Self {
         match self {
-            Self::Starting(life) => Self::Leaving(life.leave()),
-            Self::Serving(life) => Self::Leaving(life.leave()),
+            Self::Starting(lifecycle) => Self::Leaving(lifecycle.leave()),
+            Self::Serving(lifecycle) => Self::Leaving(lifecycle.leave()),
             other => other,
         }
     }
@@ -135,7 +135,7 @@
     /// Ends, from any stage.
     pub fn end(self) -> Self {
         match self.leave() {
-            Self::Leaving(life) => Self::Gone(life.end()),
+            Self::Leaving(lifecycle) => Self::Gone(lifecycle.end()),
             other => other,
         }
     }
@@ -145,21 +145,21 @@
     /// Other processes may consider this one dead after a pause, or remember an earlier process of
     /// this host whose clock was ahead. Their record would win until this process exceeds its
     /// version.
-    pub fn refute(&mut self, news: &Member) -> bool {
+    pub fn refute(&mut self, received: &Member) -> bool {
         let member = match self {
-            Self::Starting(life) => &mut life.member,
-            Self::Serving(life) => &mut life.member,
-            Self::Leaving(life) => &mut life.member,
-            Self::Gone(life) => &mut life.member,
+            Self::Starting(lifecycle) => &mut lifecycle.member,
+            Self::Serving(lifecycle) => &mut lifecycle.member,
+            Self::Leaving(lifecycle) => &mut lifecycle.member,
+            Self::Gone(lifecycle) => &mut lifecycle.member,
         };
-        if !news.supersedes(member) {
+        if !received.supersedes(member) {
             return false;
         }
-        member.version = next(news.version);
+        member.version = next_version(received.version);
         true
     }
 }
 
-fn next(version: Version) -> Version {
+fn next_version(version: Version) -> Version {
     version.saturating_add(1)
 }
--- a/crates/lentillift-fleet/src/member.rs
+++ b/crates/lentillift-fleet/src/member.rs
@@ -22,12 +22,12 @@
 /// How long a host that has ended or died is remembered once it is no longer published.
 ///
 /// Longer than any record of it can be in flight, so that a late record does not bring it back.
-const MEMORY: Duration = Duration::from_secs(120);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(120);
 
 /// Maximum number of hosts remembered besides the published ones.
 ///
 /// Without a limit, a faulty peer that invents hosts would fill the memory of the whole fleet.
-const MOST: usize = 2048;
+const MAX_UNPUBLISHED: usize = 2048;
 
 /// Record of a host, as exchanged between processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     }
 
     /// Whether the process has ended, by its own announcement or because probes failed.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.stage == Stage::Gone || self.health == Health::Dead
     }
 
@@ -66,7 +66,7 @@
     ///
     /// Hosts that have ended contribute 0, because tables forget them at different times.
     pub fn digest(&self) -> u64 {
-        if self.version == 0 || self.is_over() {
+        if self.version == 0 || self.has_ended() {
             return 0;
         }
         let mut hasher = XxHash64::with_seed(0);
@@ -105,7 +105,7 @@
     /// The record of `host` if it says that the host is suspect, dead or gone.
     ///
     /// It is sent to that host, which can then refute it.
-    pub fn against(&self, host: &str) -> Option<Member> {
+    pub fn accusation(&self, host: &str) -> Option<Member> {
         let member = self.get(host)?;
         let held = member.health != Health::Alive || member.stage == Stage::Gone;
         held.then(|| member.clone())
@@ -159,17 +159,17 @@
     }
 
     /// Merges a received record; returns whether it was new or replaced the known one.
-    pub fn merge(&mut self, now: Time, news: &Member) -> bool {
+    pub fn merge(&mut self, now: Time, received: &Member) -> bool {
         // The end of an unknown host is recorded too: an older record that arrives later would
         // otherwise bring the host back to life.
-        let holds = match self.get(&news.host) {
-            Some(known) => news.supersedes(known),
-            None => self.records.len() < self.published.len() + MOST,
+        let is_newer = match self.get(&received.host) {
+            Some(known) => received.supersedes(known),
+            None => self.records.len() < self.published.len() + MAX_UNPUBLISHED,
         };
-        if holds {
-            self.put(now, news.clone());
+        if is_newer {
+            self.put(now, received.clone());
         }
-        holds
+        is_newer
     }
 
     fn put(&mut self, now: Time, member: Member) {
@@ -189,7 +189,7 @@
     /// Records that `host` failed to answer, if `version` is still the known one.
     ///
     /// Returns the new record, which is to be sent to other hosts.
-    pub fn judge(
+    pub fn set_health(
         &mut self,
         now: Time,
         host: &str,
@@ -200,11 +200,11 @@
         if member.version != version {
             return None;
         }
-        let worse = Member {
+        let updated = Member {
             health,
             ..member.clone()
         };
-        self.merge(now, &worse).then_some(worse)
+        self.merge(now, &updated).then_some(updated)
     }
 
     /// Applies the published list, which lags behind what peers report.
@@ -213,14 +213,14 @@
     /// others found by probing it, is kept: an old entry does not bring back a host that has left.
     /// A host that has ended and is published with another address is a new host under an old name,
     /// and is probed at the new address.
-    pub fn publish(&mut self, now: Time, me: &str, roster: &Roster) {
+    pub fn apply_roster(&mut self, now: Time, me: &str, roster: &Roster) {
         self.published = roster.hosts.keys().cloned().collect();
         for (host, entry) in roster.hosts.iter().filter(|(host, _)| &***host != me) {
             let known = self.get(host);
             let moved = known.is_some_and(|known| known.address != entry.address);
             let replace = match known {
                 None => true,
-                Some(known) => moved && (known.version == 0 || known.is_over()),
+                Some(known) => moved && (known.version == 0 || known.has_ended()),
             };
             if replace {
                 let version = known.map_or(0, |known| known.version);
@@ -241,18 +241,18 @@
     /// Removes hosts that are no longer published and have either ended or never been heard from.
     ///
     /// Returns whether any was removed.
-    pub fn forget(&mut self, now: Time) -> bool {
+    pub fn prune(&mut self, now: Time) -> bool {
         let published = &self.published;
         let count = self.records.len();
         self.records.retain(|host, record| {
-            let past = record.member.is_over() && record.since + MEMORY <= now;
-            let rumour = record.member.version == 0;
-            published.contains(host) || !(past || rumour)
+            let expired = record.member.has_ended() && record.since + TOMBSTONE_TTL <= now;
+            let never_heard = record.member.version == 0;
+            published.contains(host) || !(expired || never_heard)
         });
         let records = &self.records;
         self.suspects.retain(|host| records.contains_key(host));
-        let forgot = self.records.len() != count;
-        self.changes += u64::from(forgot);
-        forgot
+        let removed = self.records.len() != count;
+        self.changes += u64::from(removed);
+        removed
     }
 }
--- a/crates/lentillift-fleet/src/probe.rs
+++ b/crates/lentillift-fleet/src/probe.rs
@@ -36,11 +36,11 @@
     pub suspicion_per_doubling: Duration,
     /// One period in this many also probes a host outside the regular round, such as one of another
     /// region.
-    pub abroad: u64,
+    pub remote_interval: u64,
     /// One period in this many also probes a host that has ended.
     ///
     /// Both sides of a partition consider the other dead, and nothing else would reconnect them.
-    pub lost: u64,
+    pub dead_interval: u64,
     /// Number of hosts that a starting process probes in one period.
     pub burst: usize,
 }
@@ -53,8 +53,8 @@
             helpers: 3,
             suspicion: Duration::from_secs(2),
             suspicion_per_doubling: Duration::from_millis(200),
-            abroad: 8,
-            lost: 4,
+            remote_interval: 8,
+            dead_interval: 4,
             burst: 16,
         }
     }
@@ -68,7 +68,7 @@
     address: SocketAddr,
     sent: Time,
     /// Whether other hosts were asked to probe the target.
-    asked: bool,
+    relayed: bool,
 }
 
 /// A ping on behalf of another host.
@@ -80,7 +80,7 @@
 }
 
 /// Maximum number of pending relays; requests beyond it are dropped.
-const MOST_RELAYS: usize = 1024;
+const MAX_RELAYS: usize = 1024;
 
 /// Action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -115,18 +115,18 @@
 
 /// Inputs of a tick.
 #[derive(Debug)]
-pub struct Around<'a, F> {
+pub struct ProbeContext<'a, F> {
     /// All other hosts.
     pub table: &'a Table,
     /// Whether a host belongs to the regular round of probes: those of this process's region in the
     /// core, those of its failure domain in [`crate::swim`].
-    pub is_home: F,
+    pub is_near: F,
     /// Addresses to probe when no host is known.
     pub seeds: &'a [SocketAddr],
     /// Whether this process is starting and should learn of many hosts soon.
     pub starting: bool,
     /// Whether this process reaches anybody; if not, missing answers say nothing about other hosts.
-    pub fresh: bool,
+    pub is_connected: bool,
 }
 
 /// Probes, relays and suspicions of this process.
@@ -135,7 +135,7 @@
     options: Options,
     next: Sequence,
     periods: u64,
-    due: Time,
+    next_period: Time,
     /// Hosts still to be probed in this round, in random order.
     round: Vec<id::Host>,
     pending: BTreeMap<Sequence, Pending>,
@@ -151,7 +151,7 @@
             options,
             next: 0,
             periods: 0,
-            due: now,
+            next_period: now,
             round: Vec::new(),
             pending: BTreeMap::new(),
             relays: BTreeMap::new(),
@@ -161,24 +161,29 @@
 
     /// Discards pending probes and suspicions, after a pause in which answers could not be
     /// received.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.pending.clear();
         self.suspects.clear();
     }
 
     /// Returns the actions that are due.
-    pub fn tick<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
+    pub fn tick<F, R>(
+        &mut self,
+        now: Time,
+        context: &ProbeContext<'_, F>,
+        rng: &mut R,
+    ) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
     {
         self.relays.retain(|_, relay| relay.expires > now);
-        let mut actions = self.expire(now, around, rng);
-        actions.extend(self.condemn(now, around));
-        if self.due <= now {
-            self.due = now + self.options.period;
+        let mut actions = self.expire(now, context, rng);
+        actions.extend(self.expire_suspects(now, context));
+        if self.next_period <= now {
+            self.next_period = now + self.options.period;
             self.periods += 1;
-            for (target, address) in self.targets(around, rng) {
+            for (target, address) in self.targets(context, rng) {
                 let sequence = self.ping(now, target, address);
                 actions.push(Action::Ping(address, sequence));
             }
@@ -197,7 +202,7 @@
             target,
             address,
             sent: now,
-            asked: false,
+            relayed: false,
         };
         self.pending.insert(self.next, pending);
         self.next
@@ -205,7 +210,7 @@
 
     /// Asks others to probe hosts that missed the timeout, and suspects those that did not answer
     /// within the period.
-    fn expire<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
+    fn expire<F, R>(&mut self, now: Time, context: &ProbeContext<'_, F>, rng: &mut R) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
@@ -221,9 +226,9 @@
                 actions.push(Action::Judge(host.clone(), *version, Health::Suspect));
                 return false;
             }
-            if age >= options.timeout && !pending.asked {
-                pending.asked = true;
-                for helper in helpers(host, options.helpers, around, rng) {
+            if age >= options.timeout && !pending.relayed {
+                pending.relayed = true;
+                for helper in helpers(host, options.helpers, context, rng) {
                     actions.push(Action::Ask {
                         helper,
                         sequence: *sequence,
@@ -238,19 +243,19 @@
     }
 
     /// Reports suspects as dead that did not refute the suspicion in time.
-    fn condemn<F>(&mut self, now: Time, around: &Around<'_, F>) -> Vec<Action> {
-        if !around.fresh {
+    fn expire_suspects<F>(&mut self, now: Time, context: &ProbeContext<'_, F>) -> Vec<Action> {
+        if !context.is_connected {
             self.suspects.clear();
             return Vec::new();
         }
-        let doublings = (around.table.len() + 1).ilog2();
-        let patience = self.options.suspicion + self.options.suspicion_per_doubling * doublings;
+        let doublings = (context.table.len() + 1).ilog2();
+        let grace = self.options.suspicion + self.options.suspicion_per_doubling * doublings;
         let old = std::mem::take(&mut self.suspects);
         let mut actions = Vec::new();
-        for member in around.table.suspects() {
+        for member in context.table.suspects() {
             let known = old.get(&member.host);
             let known = known.filter(|(version, _)| *version == member.version);
-            let (_, deadline) = known.copied().unwrap_or((0, now + patience));
+            let (_, deadline) = known.copied().unwrap_or((0, now + grace));
             if deadline <= now {
                 let host = member.host.clone();
                 actions.push(Action::Judge(host, member.version, Health::Dead));
@@ -265,7 +270,7 @@
     /// Hosts and addresses to probe in this period; the host is none for a seed.
     fn targets<F, R>(
         &mut self,
-        around: &Around<'_, F>,
+        context: &ProbeContext<'_, F>,
         rng: &mut R,
     ) -> Vec<(Option<(id::Host, Version)>, SocketAddr)>
     where
@@ -273,19 +278,19 @@
         R: Rng,
     {
         let mut targets: Vec<&Member> = Vec::new();
-        targets.extend(self.next_in_round(around, rng));
-        if self.periods.is_multiple_of(self.options.abroad) {
-            let abroad = around.table.iter();
-            let abroad = abroad.filter(|m| !m.is_over() && !(around.is_home)(m));
-            targets.extend(abroad.choose(rng));
+        targets.extend(self.next_in_round(context, rng));
+        if self.periods.is_multiple_of(self.options.remote_interval) {
+            let remote = context.table.iter();
+            let remote = remote.filter(|m| !m.has_ended() && !(context.is_near)(m));
+            targets.extend(remote.choose(rng));
         }
-        if self.periods.is_multiple_of(self.options.lost) || targets.is_empty() {
-            let lost = around.table.iter();
-            let lost = lost.filter(|m| m.is_over() && around.table.may_return(&m.host));
-            targets.extend(lost.choose(rng));
+        if self.periods.is_multiple_of(self.options.dead_interval) || targets.is_empty() {
+            let ended = context.table.iter();
+            let ended = ended.filter(|m| m.has_ended() && context.table.may_return(&m.host));
+            targets.extend(ended.choose(rng));
         }
-        if around.starting {
-            let unheard = around.table.iter().filter(|m| m.version == 0);
+        if context.starting {
+            let unheard = context.table.iter().filter(|m| m.version == 0);
             targets.extend(unheard.choose_multiple(rng, self.options.burst));
         }
         targets.sort_by(|a, b| a.host.cmp(&b.host));
@@ -294,8 +299,8 @@
         let mut targets: Vec<_> = targets
             .map(|m| (Some((m.host.clone(), m.version)), m.address))
             .collect();
-        if targets.is_empty() || around.starting {
-            targets.extend(around.seeds.iter().map(|seed| (None, *seed)));
+        if targets.is_empty() || context.starting {
+            targets.extend(context.seeds.iter().map(|seed| (None, *seed)));
         }
         targets
     }
@@ -304,23 +309,27 @@
     ///
     /// With an independent draw for each period, a host would now and then stay unprobed for many
     /// periods.
-    fn next_in_round<'a, F, R>(&mut self, around: &Around<'a, F>, rng: &mut R) -> Option<&'a Member>
+    fn next_in_round<'a, F, R>(
+        &mut self,
+        context: &ProbeContext<'a, F>,
+        rng: &mut R,
+    ) -> Option<&'a Member>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
     {
-        let usable = |m: &&Member| !m.is_over() && (around.is_home)(m);
+        let usable = |m: &&Member| !m.has_ended() && (context.is_near)(m);
         let mut drawn = false;
         loop {
             while let Some(host) = self.round.pop() {
-                if let Some(member) = around.table.get(&host).filter(usable) {
+                if let Some(member) = context.table.get(&host).filter(usable) {
                     return Some(member);
                 }
             }
             if std::mem::replace(&mut drawn, true) {
                 return None;
             }
-            let home = around.table.iter().filter(usable);
+            let home = context.table.iter().filter(usable);
             self.round = home.map(|m| m.host.clone()).collect();
             self.round.shuffle(rng);
         }
@@ -328,7 +337,7 @@
 
     /// Registers a ping on behalf of another host; returns the number of the ping.
     pub fn relay(&mut self, now: Time, origin: SocketAddr, sequence: Sequence) -> Option<Sequence> {
-        if self.relays.len() >= MOST_RELAYS {
+        if self.relays.len() >= MAX_RELAYS {
             return None;
         }
         self.next += 1;
@@ -357,11 +366,11 @@
         {
             return Answer::Late;
         }
-        self.settle(sequence)
+        self.complete(sequence)
     }
 
     /// Handles a helper's report that a ping was answered.
-    pub fn settle(&mut self, sequence: Sequence) -> Answer {
+    pub fn complete(&mut self, sequence: Sequence) -> Answer {
         let pending = self.pending.remove(&sequence);
         pending.map_or(Answer::Late, |pending| Answer::Own(pending.sent))
     }
@@ -371,16 +380,16 @@
 fn helpers<F, R>(
     target: &id::Host,
     count: usize,
-    around: &Around<'_, F>,
+    context: &ProbeContext<'_, F>,
     rng: &mut R,
 ) -> Vec<SocketAddr>
 where
     F: Fn(&Member) -> bool,
     R: Rng,
 {
-    let usable = around.table.iter().filter(|m| {
+    let usable = context.table.iter().filter(|m| {
         let fit = m.health == Health::Alive && m.stage != Stage::Gone && m.version > 0;
-        fit && m.host != *target && (around.is_home)(m)
+        fit && m.host != *target && (context.is_near)(m)
     });
     let drawn = usable.choose_multiple(rng, count);
     drawn.into_iter().map(|m| m.address).collect()
--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -15,17 +15,17 @@
 //! one of them ends it. So one canary is not enough, and a request that servers have answered
 //! recently needs more of them: a popular search is in flight whenever servers end.
 
-mod account;
-mod proven;
+mod recently_answered;
 mod record;
+mod shared_record;
 
-pub use account::SharedRecord;
-pub use account::State;
+pub use shared_record::SharedRecord;
+pub use shared_record::State;
 
 use crate::rendezvous;
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
-use proven::Proven;
+use recently_answered::RecentlyAnswered;
 use record::Record;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -90,14 +90,14 @@
 impl Verdict {
     /// How the next send for the request may be made.
     ///
-    /// `is_trial` says whether the request was admitted as a canary during a quarantine.
-    /// `is_under_way` says whether another send of the request is in flight; that one is mostly
+    /// `is_admitted_canary` says whether the request was admitted as a canary during a quarantine.
+    /// `is_in_flight` says whether another send of the request is in flight; that one is mostly
     /// answered, so that no canary is needed.
-    pub fn next(self, is_trial: bool, is_under_way: bool) -> Next {
+    pub fn next(self, is_admitted_canary: bool, is_in_flight: bool) -> Next {
         match self {
             Self::Clear => Next::Send,
-            Self::Quarantined(_) if !is_trial => Next::GiveUp,
-            _ if is_under_way => Next::Wait,
+            Self::Quarantined(_) if !is_admitted_canary => Next::GiveUp,
+            _ if is_in_flight => Next::Wait,
             _ => Next::Canary,
         }
     }
@@ -138,7 +138,7 @@
 }
 
 /// Remaining time that is reported for a quarantine without an end.
-const FOREVER: Duration = Duration::from_secs(24 * 3600);
+const INDEFINITE: Duration = Duration::from_secs(24 * 3600);
 
 /// Requests under which servers ended, as known to this host.
 #[derive(Debug, Default)]
@@ -146,9 +146,9 @@
     // INVARIANT: No more than `Options::records`.
     records: HashMap<Fingerprint, Record>,
     /// Requests that servers have answered recently.
-    proven: Proven,
+    recently_answered: RecentlyAnswered,
     /// Whether some record has changed since updates were last sent to other hosts.
-    has_news: bool,
+    has_updates: bool,
 }
 
 impl Table {
@@ -169,7 +169,7 @@
             return Admission::Serve;
         };
         if record.renew(options, now) {
-            self.has_news = true;
+            self.has_updates = true;
             return Admission::Canary;
         }
         match record.verdict(now) {
@@ -184,12 +184,12 @@
         self.make_room(options, fingerprint, now);
         let canary_ends = self.canary_ends(options, fingerprint, now);
         let record = self.records.entry(fingerprint).or_default();
-        self.has_news |= record.ended(options, canary_ends, end, now);
+        self.has_updates |= record.ended(options, canary_ends, end, now);
     }
 
     /// Number of servers that have to end under canaries of a request before it is quarantined.
     fn canary_ends(&self, options: &Options, fingerprint: Fingerprint, now: Time) -> usize {
-        match self.proven.has(fingerprint, now, options.memory) {
+        match self.recently_answered.has(fingerprint, now, options.memory) {
             true => options.proven_canary_ends,
             false => options.canary_ends,
         }
@@ -197,10 +197,11 @@
 
     /// Records that a server ran the request and replied.
     pub fn record_reply(&mut self, options: &Options, fingerprint: Fingerprint, now: Time) {
-        self.proven.note(fingerprint, now, options.records);
+        self.recently_answered
+            .note(fingerprint, now, options.records);
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.clear(now);
-            self.has_news |= record.is_news();
+            self.has_updates |= record.has_changes();
         }
     }
 
@@ -211,35 +212,35 @@
             return false;
         };
         let lifted = record.clear(now);
-        self.has_news |= record.is_news();
+        self.has_updates |= record.has_changes();
         lifted
     }
 
     /// Merges records of another host; returns how many of them changed something.
-    pub fn merge(&mut self, options: &Options, accounts: &[SharedRecord], now: Time) -> usize {
+    pub fn merge(&mut self, options: &Options, received: &[SharedRecord], now: Time) -> usize {
         let mut new = 0;
-        for account in accounts {
-            self.make_room(options, account.fingerprint, now);
-            let canary_ends = self.canary_ends(options, account.fingerprint, now);
-            let record = self.records.entry(account.fingerprint).or_default();
-            new += usize::from(record.hear(options, canary_ends, account, now));
+        for shared in received {
+            self.make_room(options, shared.fingerprint, now);
+            let canary_ends = self.canary_ends(options, shared.fingerprint, now);
+            let record = self.records.entry(shared.fingerprint).or_default();
+            new += usize::from(record.merge(options, canary_ends, shared, now));
         }
-        self.has_news |= new > 0;
+        self.has_updates |= new > 0;
         new
     }
 
     /// Whether there are updates to send to other hosts.
     pub fn has_updates(&self) -> bool {
-        self.has_news
+        self.has_updates
     }
 
     /// Takes the records that have changed since the last call.
     pub fn take_updates(&mut self, now: Time) -> Vec<SharedRecord> {
-        self.has_news = false;
+        self.has_updates = false;
         let records = self.records.iter_mut();
         let changed = records.filter_map(|(fingerprint, record)| {
-            let is_news = record.take_news();
-            is_news.then(|| record.account(*fingerprint, now))
+            let has_changes = record.take_changed();
+            has_changes.then(|| record.shared_record(*fingerprint, now))
         });
         changed.collect()
     }
@@ -247,24 +248,24 @@
     /// Records of at most `most` requests, the most recently changed first.
     pub fn shared_records(&self, most: usize, now: Time) -> Vec<SharedRecord> {
         let records = self.records.iter();
-        let mut accounts: Vec<SharedRecord> = records
-            .map(|(fingerprint, record)| record.account(*fingerprint, now))
+        let mut shared: Vec<SharedRecord> = records
+            .map(|(fingerprint, record)| record.shared_record(*fingerprint, now))
             .collect();
-        accounts.sort_by_key(|account| account.age);
-        accounts.truncate(most);
-        accounts
+        shared.sort_by_key(|record| record.age);
+        shared.truncate(most);
+        shared
     }
 
     /// Record of one request.
     pub fn shared_record(&self, fingerprint: Fingerprint, now: Time) -> Option<SharedRecord> {
         let record = self.records.get(&fingerprint)?;
-        Some(record.account(fingerprint, now))
+        Some(record.shared_record(fingerprint, now))
     }
 
     /// Forgets requests that led to no quarantine within [`Options::memory`].
     pub fn expire(&mut self, options: &Options, now: Time) {
         self.records
-            .retain(|_, record| !record.is_over(options, now));
+            .retain(|_, record| !record.is_expired(options, now));
     }
 
     /// Makes room for one more request: clear ones are removed first, then suspect ones, then the
@@ -276,12 +277,12 @@
         }
         self.expire(options, now);
         let records = self.records.iter();
-        let least = records.min_by_key(|(_, record)| record.worth());
-        let least = least.map(|(fingerprint, _)| *fingerprint);
+        let victim = records.min_by_key(|(_, record)| record.eviction_rank());
+        let victim = victim.map(|(fingerprint, _)| *fingerprint);
         if self.records.len() >= options.records
-            && let Some(least) = least
+            && let Some(victim) = victim
         {
-            self.records.remove(&least);
+            self.records.remove(&victim);
         }
     }
 }
--- a/crates/lentillift-fleet/src/quarantine/proven.rs
+++ b/crates/lentillift-fleet/src/quarantine/recently_answered.rs
@@ -8,14 +8,14 @@
 
 /// Requests that servers have answered recently, which include the popular ones.
 #[derive(Debug, Default)]
-pub(super) struct Proven {
+pub(super) struct RecentlyAnswered {
     answered: HashMap<Fingerprint, Time>,
     /// In the order in which they were first answered.
     // INVARIANT: Holds the keys of `answered`.
     order: VecDeque<Fingerprint>,
 }
 
-impl Proven {
+impl RecentlyAnswered {
     /// Records an answer; beyond `most` requests, those first answered longest ago are forgotten.
     pub(super) fn note(&mut self, fingerprint: Fingerprint, now: Time, most: usize) {
         if self.answered.insert(fingerprint, now).is_none() {
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -7,7 +7,7 @@
 //! the time that it spent in transit.
 
 use super::End;
-use super::FOREVER;
+use super::INDEFINITE;
 use super::Options;
 use super::ProcessId;
 use super::SharedRecord;
@@ -45,9 +45,9 @@
     latest: Time,
     stage: Stage,
     /// Whether the record has changes that were not sent to other hosts.
-    is_news: bool,
+    has_changes: bool,
     /// Whether other hosts know of this generation.
-    is_told: bool,
+    is_known_elsewhere: bool,
 }
 
 impl Record {
@@ -55,7 +55,7 @@
         match self.stage {
             Stage::Open if self.ends.is_empty() => Verdict::Clear,
             Stage::Open => Verdict::Suspect,
-            Stage::Quarantined { until, .. } => Verdict::Quarantined(left(until, now)),
+            Stage::Quarantined { until, .. } => Verdict::Quarantined(remaining(until, now)),
         }
     }
 
@@ -78,7 +78,7 @@
             until: (!is_last).then_some(now + hold),
             trials,
         };
-        self.is_news = true;
+        self.has_changes = true;
         true
     }
 
@@ -99,7 +99,7 @@
             self.latest = now;
             self.decide(options, canary_ends, now);
         }
-        self.is_news |= is_new;
+        self.has_changes |= is_new;
         is_new
     }
 
@@ -119,14 +119,14 @@
             return false;
         }
         // Other hosts need not learn of a suspicion that ended before it was sent to them.
-        let is_told = self.is_told;
-        self.enter(self.generation.saturating_add(1), now);
-        self.is_news = is_told;
+        let is_known_elsewhere = self.is_known_elsewhere;
+        self.start_generation(self.generation.saturating_add(1), now);
+        self.has_changes = is_known_elsewhere;
         true
     }
 
     /// Starts a generation without ends.
-    fn enter(&mut self, generation: u32, now: Time) {
+    fn start_generation(&mut self, generation: u32, now: Time) {
         *self = Self {
             generation,
             latest: now,
@@ -134,47 +134,47 @@
         };
     }
 
-    pub(super) fn is_news(&self) -> bool {
-        self.is_news
+    pub(super) fn has_changes(&self) -> bool {
+        self.has_changes
     }
 
     /// Merges the record of another host; returns whether that changed anything.
-    pub(super) fn hear(
+    pub(super) fn merge(
         &mut self,
         options: &Options,
         canary_ends: usize,
-        account: &SharedRecord,
+        received: &SharedRecord,
         now: Time,
     ) -> bool {
-        if account.generation < self.generation {
+        if received.generation < self.generation {
             return false;
         }
         let was_clear = self.verdict(now) == Verdict::Clear;
         let mut changed = false;
-        if account.generation > self.generation {
-            self.enter(account.generation, now);
+        if received.generation > self.generation {
+            self.start_generation(received.generation, now);
             changed = !was_clear;
         }
         let most = options.proven_canary_ends;
-        changed |= add(&mut self.ends, &account.ends, options.ends);
-        changed |= add(&mut self.canary_ends, &account.canary_ends, most);
-        if let State::Quarantined { left, trials } = account.state {
+        changed |= add(&mut self.ends, &received.ends, options.ends);
+        changed |= add(&mut self.canary_ends, &received.canary_ends, most);
+        if let State::Quarantined { left, trials } = received.state {
             let until = left.map(|left| now + left);
-            changed |= self.hear_quarantine(until, trials);
+            changed |= self.adopt_quarantine(until, trials);
         } else {
             self.decide(options, canary_ends, now);
         }
         if changed {
             self.latest = now;
         }
-        self.is_news |= changed;
+        self.has_changes |= changed;
         // The sender knows of this generation.
-        self.is_told = true;
+        self.is_known_elsewhere = true;
         changed
     }
 
     /// Adopts another host's quarantine if more canaries were sent in it, or if there is none here.
-    fn hear_quarantine(&mut self, until: Option<Time>, trials: u32) -> bool {
+    fn adopt_quarantine(&mut self, until: Option<Time>, trials: u32) -> bool {
         let is_known = match self.stage {
             Stage::Quarantined { trials: own, .. } => own >= trials,
             Stage::Open => false,
@@ -186,13 +186,13 @@
     }
 
     /// Takes the flag that the record has unsent changes; the caller sends them.
-    pub(super) fn take_news(&mut self) -> bool {
-        let is_news = std::mem::replace(&mut self.is_news, false);
-        self.is_told |= is_news;
-        is_news
+    pub(super) fn take_changed(&mut self) -> bool {
+        let has_changes = std::mem::replace(&mut self.has_changes, false);
+        self.is_known_elsewhere |= has_changes;
+        has_changes
     }
 
-    pub(super) fn account(&self, fingerprint: Fingerprint, now: Time) -> SharedRecord {
+    pub(super) fn shared_record(&self, fingerprint: Fingerprint, now: Time) -> SharedRecord {
         let state = match self.stage {
             Stage::Open if self.ends.is_empty() => State::Cleared,
             Stage::Open => State::Suspect,
@@ -212,12 +212,12 @@
     }
 
     /// Whether the record can be forgotten.
-    pub(super) fn is_over(&self, options: &Options, now: Time) -> bool {
+    pub(super) fn is_expired(&self, options: &Options, now: Time) -> bool {
         self.stage == Stage::Open && now >= self.latest + options.memory
     }
 
     /// Eviction order: the record with the lowest value is removed first.
-    pub(super) fn worth(&self) -> (u8, Time) {
+    pub(super) fn eviction_rank(&self) -> (u8, Time) {
         let rank = match self.stage {
             Stage::Open if self.ends.is_empty() => 0,
             Stage::Open => 1,
@@ -227,8 +227,8 @@
     }
 }
 
-fn left(until: Option<Time>, now: Time) -> Duration {
-    until.map_or(FOREVER, |until| until.saturating_sub(now))
+fn remaining(until: Option<Time>, now: Time) -> Duration {
+    until.map_or(INDEFINITE, |until| until.saturating_sub(now))
 }
 
 /// Adds processes that are not among `known`, up to `most` in total; returns whether any was added.
--- a/crates/lentillift-fleet/src/read.rs
+++ b/crates/lentillift-fleet/src/read.rs
@@ -40,16 +40,16 @@
     /// so that a pending watch never takes the place of a proof that is due.
     pub wait: Duration,
     /// Poll period of a host that does not watch, in a small fleet.
-    pub slow: Duration,
+    pub poll_period: Duration,
     /// Poll period per host of the fleet, used if the product is longer; all hosts together make
     /// ten calls a second.
-    pub slow_per_host: Duration,
+    pub poll_period_per_host: Duration,
     /// Poll period of a host that is starting or hears from no peer.
-    pub alone: Duration,
+    pub isolated_poll_period: Duration,
     /// Minimum time between two calls for the index.
     pub gap: Duration,
     /// Pause after a failed call, so that a failing service is not called continuously.
-    pub pause: Duration,
+    pub failure_pause: Duration,
     /// Maximum number of values that are read concurrently.
     pub reads: usize,
 }
@@ -60,11 +60,11 @@
             slot: Duration::from_secs(600),
             watchers: 2,
             wait: Duration::from_secs(1),
-            slow: Duration::from_secs(30),
-            slow_per_host: Duration::from_millis(100),
-            alone: Duration::from_secs(1),
+            poll_period: Duration::from_secs(30),
+            poll_period_per_host: Duration::from_millis(100),
+            isolated_poll_period: Duration::from_secs(1),
             gap: Duration::from_millis(100),
-            pause: Duration::from_millis(500),
+            failure_pause: Duration::from_millis(500),
             reads: 4,
         }
     }
@@ -107,11 +107,11 @@
 {
     let key = format!("watch/{slot}");
     let mine = rendezvous::weight(&key, me);
-    let before = hosts.into_iter().filter(|host| {
+    let higher = hosts.into_iter().filter(|host| {
         let other = rendezvous::weight(&key, host);
         *host != me && other > mine
     });
-    before.count() < options.watchers
+    higher.count() < options.watchers
 }
 
 /// What this process has read from the service, and its calls in flight.
@@ -127,13 +127,13 @@
     wanted: BTreeMap<Key, u64>,
     reading: BTreeSet<Key>,
     /// When the call for the index was made, while it is in flight.
-    asked: Option<Time>,
+    index_called_at: Option<Time>,
     /// When the latest call for the index was answered or failed.
-    last: Option<Time>,
+    last_index_at: Option<Time>,
     /// No calls are made before this time.
-    paused: Time,
+    paused_until: Time,
     /// Whether all keys that an index listed have been read.
-    done: bool,
+    has_read_all: bool,
     /// Consecutive failed calls for the index.
     failures: u32,
 }
@@ -148,17 +148,17 @@
             seen: BTreeMap::new(),
             wanted: BTreeMap::new(),
             reading: BTreeSet::new(),
-            asked: None,
-            last: None,
-            paused: Time::ZERO,
-            done: false,
+            index_called_at: None,
+            last_index_at: None,
+            paused_until: Time::ZERO,
+            has_read_all: false,
             failures: 0,
         }
     }
 
     /// Whether every key that the service listed has been read at least once.
-    pub fn is_done(&self) -> bool {
-        self.done
+    pub fn has_read_all_once(&self) -> bool {
+        self.has_read_all
     }
 
     /// Number of consecutive failed calls for the index.
@@ -175,12 +175,12 @@
             self.since = 0;
         }
         self.role = role;
-        if now < self.paused {
+        if now < self.paused_until {
             return Vec::new();
         }
         let mut calls = self.reads();
-        if self.asked.is_none() && self.is_due(now, hosts) {
-            self.asked = Some(now);
+        if self.index_called_at.is_none() && self.is_due(now, hosts) {
+            self.index_called_at = Some(now);
             calls.push(match role {
                 Role::Watcher => Call::Index {
                     since: self.since,
@@ -196,25 +196,25 @@
     }
 
     fn is_due(&self, now: Time, hosts: usize) -> bool {
-        let Some(last) = self.last else {
+        let Some(last_index_at) = self.last_index_at else {
             return true;
         };
-        let slow = self.options.slow_per_host * hosts as u32;
+        let poll_period = self.options.poll_period_per_host * hosts as u32;
         let gap = match self.role {
             Role::Watcher => self.options.gap,
-            Role::Alone => self.options.alone,
-            Role::Other => slow.max(self.options.slow),
+            Role::Alone => self.options.isolated_poll_period,
+            Role::Other => poll_period.max(self.options.poll_period),
         };
-        last + gap <= now
+        last_index_at + gap <= now
     }
 
     fn reads(&mut self) -> Vec<Call> {
-        let room = self.options.reads.saturating_sub(self.reading.len());
+        let space = self.options.reads.saturating_sub(self.reading.len());
         let next = self
             .wanted
             .keys()
             .filter(|key| !self.reading.contains(*key));
-        let next: Vec<Key> = next.take(room).cloned().collect();
+        let next: Vec<Key> = next.take(space).cloned().collect();
         self.reading.extend(next.iter().cloned());
         next.into_iter().map(Call::Value).collect()
     }
@@ -227,26 +227,26 @@
     where
         F: Fn(&Key) -> Option<u64>,
     {
-        let asked = self.asked.take();
-        self.last = Some(now);
+        let index_called_at = self.index_called_at.take();
+        self.last_index_at = Some(now);
         let Some(index) = index else {
             self.failures = self.failures.saturating_add(1);
-            self.paused = now + self.options.pause;
+            self.paused_until = now + self.options.failure_pause;
             return None;
         };
         self.failures = 0;
         self.since = self.since.max(index.version);
         self.wanted.retain(|key, _| index.keys.contains_key(key));
-        let trust = self.role != Role::Watcher;
+        let trusts_peers = self.role != Role::Watcher;
         for (key, version) in index.keys {
             let known = self.seen.get(&key).copied();
-            let known = known.max(held(&key).filter(|_| trust));
+            let known = known.max(held(&key).filter(|_| trusts_peers));
             if known.is_none_or(|known| known < version) && value::is_known(&key) {
                 self.wanted.insert(key, version);
             }
         }
-        self.done |= self.wanted.is_empty();
-        asked
+        self.has_read_all |= self.wanted.is_empty();
+        index_called_at
     }
 
     /// Handles the result of reading a value; returns the value's version.
@@ -255,13 +255,13 @@
     pub fn value(&mut self, now: Time, key: &Key, read: bool) -> u64 {
         self.reading.remove(key);
         if !read {
-            self.paused = now + self.options.pause;
+            self.paused_until = now + self.options.failure_pause;
             return 0;
         }
         let version = self.wanted.remove(key).unwrap_or(0);
         let seen = self.seen.entry(key.clone()).or_default();
         *seen = version.max(*seen);
-        self.done |= self.wanted.is_empty();
+        self.has_read_all |= self.wanted.is_empty();
         version
     }
 }
--- a/crates/lentillift-fleet/src/rendezvous.rs
+++ b/crates/lentillift-fleet/src/rendezvous.rs
@@ -21,19 +21,22 @@
 pub(crate) struct Key {
     bytes: Vec<u8>,
     /// Length of the key and the separator before the host, in bytes.
-    length: usize,
+    prefix_length: usize,
 }
 
 impl Key {
     pub(crate) fn new(key: &str) -> Self {
         let mut bytes = key.as_bytes().to_vec();
         bytes.push(0);
-        let length = bytes.len();
-        Self { bytes, length }
+        let prefix_length = bytes.len();
+        Self {
+            bytes,
+            prefix_length,
+        }
     }
 
     pub(crate) fn weight(&mut self, host: &str) -> u64 {
-        self.bytes.truncate(self.length);
+        self.bytes.truncate(self.prefix_length);
         self.bytes.extend_from_slice(host.as_bytes());
         XxHash64::oneshot(SEED, &self.bytes)
     }
--- a/crates/lentillift-fleet/src/census.rs
+++ b/crates/lentillift-fleet/src/stats.rs
@@ -10,9 +10,9 @@
 
 /// Cached statistics about the fleet.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Census {
+pub(crate) struct FleetStats {
     /// Inputs of the statistics: change counter of the hosts, digest of the values, watch slot.
-    basis: Option<(u64, u64, u64)>,
+    inputs: Option<(u64, u64, u64)>,
     /// Number of hosts that have not ended, this one included.
     pub(crate) hosts: usize,
     /// Whether every other known host has announced its end.
@@ -23,19 +23,19 @@
 
 impl<R> Fleet<R> {
     /// The statistics, recomputed if any of their inputs has changed.
-    pub(crate) fn census(&mut self, now: Time) -> Census {
+    pub(crate) fn stats(&mut self, now: Time) -> FleetStats {
         let slot = read::slot(&self.options.read, self.options.wall + now);
-        let basis = Some((self.table.changes(), self.store.digest(), slot));
-        if self.census.basis != basis {
-            let going = self.table.iter().filter(|m| !m.is_over());
-            self.census = Census {
-                basis,
-                hosts: going.count() + 1,
+        let inputs = Some((self.table.changes(), self.store.digest(), slot));
+        if self.stats.inputs != inputs {
+            let running = self.table.iter().filter(|m| !m.has_ended());
+            self.stats = FleetStats {
+                inputs,
+                hosts: running.count() + 1,
                 alone: self.table.iter().all(|m| m.stage == Stage::Gone),
                 watcher: self.is_watcher(slot),
             };
         }
-        self.census
+        self.stats
     }
 
     fn is_watcher(&self, slot: u64) -> bool {
--- a/crates/lentillift-fleet/src/swim.rs
+++ b/crates/lentillift-fleet/src/swim.rs
@@ -5,12 +5,12 @@
 //! knows of no other serves alone. The parts are shared with [`crate::core`], which adds values,
 //! leases and the published list of hosts.
 
-mod account;
+mod full_state;
 
-use crate::drift::Drift;
+use crate::anti_entropy::Divergence;
 use crate::gossip::Queue;
-use crate::life::Any;
-use crate::life::Life;
+use crate::lifecycle::AnyStage;
+use crate::lifecycle::Lifecycle;
 use crate::member::Member;
 use crate::member::Table;
 use crate::packet::Body;
@@ -19,7 +19,7 @@
 use crate::packet::Update;
 use crate::probe;
 use crate::probe::Answer;
-use crate::probe::Around;
+use crate::probe::ProbeContext;
 use crate::probe::Prober;
 use crate::view::Health;
 use crate::view::Stage;
@@ -35,7 +35,7 @@
 
 /// How long a new process probes the seeds and many hosts at a time, so that it soon knows the
 /// fleet.
-const JOINING: Duration = Duration::from_secs(2);
+const JOIN_TIME: Duration = Duration::from_secs(2);
 
 /// Period of probes to the seeds once others are known.
 ///
@@ -44,7 +44,7 @@
 const SEED_PERIOD: Duration = Duration::from_secs(10);
 
 /// Number of hosts that new updates are pushed to at once.
-const PUSHES: usize = 2;
+const PUSH_FANOUT: usize = 2;
 
 /// Action for the caller to carry out.
 #[derive(Debug)]
@@ -61,20 +61,20 @@
     rng: R,
     started: Time,
     seeds: Vec<SocketAddr>,
-    seeds_asked: Time,
-    life: Option<Any>,
-    // INVARIANT: The record of this process in `life`.
+    seeds_probed_at: Time,
+    lifecycle: Option<AnyStage>,
+    // INVARIANT: The record of this process in `lifecycle`.
     own: Member,
     table: Table,
     prober: Prober,
     queue: Queue,
     /// Region of each failure domain.
-    home: BTreeMap<id::Domain, id::Region>,
+    regions: BTreeMap<id::Domain, id::Region>,
     /// When a peer last answered.
-    heard: Option<Time>,
-    drift: Drift,
+    last_answer: Option<Time>,
+    divergence: Divergence,
     /// Earliest time at which full state may be sent again.
-    next_table: Time,
+    next_full_state: Time,
 }
 
 impl<R> Swim<R>
@@ -87,24 +87,24 @@
         now: Time,
         me: Member,
         seeds: Vec<SocketAddr>,
-        home: BTreeMap<id::Domain, id::Region>,
+        regions: BTreeMap<id::Domain, id::Region>,
         rng: R,
     ) -> Self {
-        let life = Any::Starting(Life::start(me));
+        let lifecycle = AnyStage::Starting(Lifecycle::start(me));
         Self {
             rng,
             started: now,
             seeds,
-            seeds_asked: now,
-            own: life.member().clone(),
-            life: Some(life),
+            seeds_probed_at: now,
+            own: lifecycle.member().clone(),
+            lifecycle: Some(lifecycle),
             table: Table::default(),
             prober: Prober::new(options, now),
             queue: Queue::default(),
-            home,
-            heard: None,
-            drift: Drift::default(),
-            next_table: now,
+            regions,
+            last_answer: None,
+            divergence: Divergence::default(),
+            next_full_state: now,
         }
     }
 
@@ -138,7 +138,7 @@
 
     /// Whether a host is in this process's region.
     pub fn is_same_region(&self, member: &Member) -> bool {
-        self.home.get(&member.domain) == self.home.get(&self.own.domain)
+        self.regions.get(&member.domain) == self.regions.get(&self.own.domain)
     }
 
     /// Hosts that accept work and answer probes.
@@ -149,66 +149,68 @@
 
     /// Accepts work from now on, and announces it.
     pub fn serve(&mut self) -> Vec<Effect> {
-        self.advance(Any::serve)
+        self.advance(AnyStage::serve)
     }
 
     /// Accepts nothing new from now on, and announces it.
     pub fn leave(&mut self) -> Vec<Effect> {
-        self.advance(Any::leave)
+        self.advance(AnyStage::leave)
     }
 
     /// Ends, and announces it.
     pub fn end(&mut self) -> Vec<Effect> {
-        self.advance(Any::end)
+        self.advance(AnyStage::end)
     }
 
-    fn advance(&mut self, step: fn(Any) -> Any) -> Vec<Effect> {
-        let Some(life) = self.life.take().map(step) else {
+    fn advance(&mut self, step: fn(AnyStage) -> AnyStage) -> Vec<Effect> {
+        let Some(lifecycle) = self.lifecycle.take().map(step) else {
             return Vec::new();
         };
-        self.own = life.member().clone();
-        self.life = Some(life);
-        let news = Update::Member(self.own.clone());
-        self.queue.push(news, self.table.len());
+        self.own = lifecycle.member().clone();
+        self.lifecycle = Some(lifecycle);
+        let update = Update::Member(self.own.clone());
+        self.queue.push(update, self.table.len());
         self.push()
     }
 
     /// Sends updates to some hosts at once instead of with the next probe.
     fn push(&mut self) -> Vec<Effect> {
         use rand::seq::IteratorRandom;
-        let usable = self.table.iter().filter(|m| !m.is_over());
-        let drawn = usable.choose_multiple(&mut self.rng, PUSHES);
+        let usable = self.table.iter().filter(|m| !m.has_ended());
+        let drawn = usable.choose_multiple(&mut self.rng, PUSH_FANOUT);
         let addresses: Vec<SocketAddr> = drawn.into_iter().map(|m| m.address).collect();
         let addresses = addresses.into_iter();
         addresses
-            .map(|address| Effect::Packet(address, self.make(Body::Push, None)))
+            .map(|address| Effect::Packet(address, self.make_packet(Body::Push, None)))
             .collect()
     }
 
     /// Does what is due; called every [`TICK`].
     pub fn tick(&mut self, now: Time) -> Vec<Effect> {
-        self.table.forget(now);
-        let joining = now < self.started + JOINING;
-        let again = now >= self.seeds_asked + SEED_PERIOD;
-        if again {
-            self.seeds_asked = now;
+        self.table.prune(now);
+        let joining = now < self.started + JOIN_TIME;
+        let seeds_due = now >= self.seeds_probed_at + SEED_PERIOD;
+        if seeds_due {
+            self.seeds_probed_at = now;
         }
         let domain = &self.own.domain;
-        let fresh = self.heard.is_some_and(|heard| now < heard + JOINING);
-        let around = Around {
+        let is_connected = self
+            .last_answer
+            .is_some_and(|answered_at| now < answered_at + JOIN_TIME);
+        let context = ProbeContext {
             table: &self.table,
             // Seven of eight probes stay in the failure domain: traffic between failure domains is
             // expensive, and each domain's own hosts detect a dead one just as soon.
-            is_home: |m: &Member| m.domain == *domain,
+            is_near: |m: &Member| m.domain == *domain,
             seeds: &self.seeds,
-            starting: joining || again,
-            fresh,
+            starting: joining || seeds_due,
+            is_connected,
         };
-        let actions = self.prober.tick(now, &around, &mut self.rng);
+        let actions = self.prober.tick(now, &context, &mut self.rng);
         let actions = actions.into_iter();
         let mut effects: Vec<Effect> = actions.flat_map(|action| self.act(now, action)).collect();
         // Updates that wait for a probe would stay in the failure domain for seconds.
-        if self.queue.has_new() {
+        if self.queue.has_unsent() {
             effects.extend(self.push());
         }
         effects
@@ -217,7 +219,7 @@
     fn act(&mut self, now: Time, action: probe::Action) -> Vec<Effect> {
         match action {
             probe::Action::Ping(address, sequence) => {
-                let packet = self.make(Body::Ping(sequence), None);
+                let packet = self.make_packet(Body::Ping(sequence), None);
                 vec![Effect::Packet(address, packet)]
             }
             probe::Action::Ask {
@@ -231,15 +233,15 @@
                     target,
                     address,
                 };
-                vec![Effect::Packet(helper, self.make(body, None))]
+                vec![Effect::Packet(helper, self.make_packet(body, None))]
             }
             probe::Action::Judge(host, version, health) => {
-                let Some(news) = self.table.judge(now, &host, version, health) else {
+                let Some(updated) = self.table.set_health(now, &host, version, health) else {
                     return Vec::new();
                 };
                 let hosts = self.table.len();
-                self.queue.push(Update::Member(news.clone()), hosts);
-                vec![Effect::Changed(news)]
+                self.queue.push(Update::Member(updated.clone()), hosts);
+                vec![Effect::Changed(updated)]
             }
         }
     }
@@ -249,42 +251,42 @@
         let Packet {
             from,
             body,
-            updates: news,
+            updates,
             digest,
         } = packet;
         if from.host == self.own.host {
             return Vec::new();
         }
         let unknown = self.table.get(&from.host).is_none();
-        let mut effects = self.learn(now, &from);
-        for news in news {
-            if let Update::Member(member) = news {
-                effects.extend(self.learn(now, &member));
+        let mut effects = self.merge_member(now, &from);
+        for update in updates {
+            if let Update::Member(member) = update {
+                effects.extend(self.merge_member(now, &member));
             }
         }
         if !unknown {
-            effects.extend(self.compare(now, &from, digest.members));
+            effects.extend(self.compare_digests(now, &from, digest.members));
         }
         let address = from.address;
         match body {
             Body::Ping(sequence) => {
-                let packet = self.make(Body::Ack(sequence), Some(&from.host));
+                let packet = self.make_packet(Body::Ack(sequence), Some(&from.host));
                 effects.push(Effect::Packet(address, packet));
                 if unknown {
-                    effects.extend(self.introduce(address));
+                    effects.extend(self.full_state(address));
                 }
             }
             Body::Ack(sequence) => match self.prober.ack(&from.host, sequence) {
-                Answer::Own(_) => self.heard = Some(now),
+                Answer::Own(_) => self.last_answer = Some(now),
                 Answer::Relayed(origin, sequence) => {
-                    let packet = self.make(Body::Proof(sequence), None);
+                    let packet = self.make_packet(Body::Proof(sequence), None);
                     effects.push(Effect::Packet(origin, packet));
                 }
                 Answer::Late => {}
             },
             Body::Proof(sequence) => {
-                if matches!(self.prober.settle(sequence), Answer::Own(_)) {
-                    self.heard = Some(now);
+                if matches!(self.prober.complete(sequence), Answer::Own(_)) {
+                    self.last_answer = Some(now);
                 }
             }
             Body::Probe {
@@ -293,7 +295,7 @@
                 address,
             } => {
                 if let Some(own) = self.prober.relay(now, from.address, sequence) {
-                    let packet = self.make(Body::Ping(own), Some(&target));
+                    let packet = self.make_packet(Body::Ping(own), Some(&target));
                     effects.push(Effect::Packet(address, packet));
                 }
             }
@@ -302,43 +304,43 @@
         effects
     }
 
-    fn learn(&mut self, now: Time, news: &Member) -> Vec<Effect> {
-        if news.host == self.own.host {
-            self.refute(news);
+    fn merge_member(&mut self, now: Time, received: &Member) -> Vec<Effect> {
+        if received.host == self.own.host {
+            self.refute(received);
             return Vec::new();
         }
-        if !self.table.merge(now, news) {
+        if !self.table.merge(now, received) {
             return Vec::new();
         }
         // Records that a joining process receives are known to the others already. When all hosts
         // of a fleet start at once, each would otherwise forward the record of each other one
         // twenty times.
-        let joining = now < self.started + JOINING;
-        if !joining || news.is_over() {
+        let joining = now < self.started + JOIN_TIME;
+        if !joining || received.has_ended() {
             let hosts = self.table.len();
-            self.queue.push(Update::Member(news.clone()), hosts);
+            self.queue.push(Update::Member(received.clone()), hosts);
         }
-        vec![Effect::Changed(news.clone())]
+        vec![Effect::Changed(received.clone())]
     }
 
-    fn refute(&mut self, news: &Member) {
-        let Some(life) = &mut self.life else {
+    fn refute(&mut self, received: &Member) {
+        let Some(lifecycle) = &mut self.lifecycle else {
             return;
         };
-        if life.refute(news) {
-            self.own = life.member().clone();
-            let news = Update::Member(self.own.clone());
-            self.queue.push(news, self.table.len());
+        if lifecycle.refute(received) {
+            self.own = lifecycle.member().clone();
+            let update = Update::Member(self.own.clone());
+            self.queue.push(update, self.table.len());
         }
     }
 
-    fn make(&mut self, body: Body, to: Option<&id::Host>) -> Packet {
-        let against = to.and_then(|to| self.table.against(to));
-        let news = self.queue.take_with(against);
-        self.carry(body, news)
+    fn make_packet(&mut self, body: Body, to: Option<&id::Host>) -> Packet {
+        let accusation = to.and_then(|to| self.table.accusation(to));
+        let updates = self.queue.take_with(accusation);
+        self.make_packet_with(body, updates)
     }
 
-    fn carry(&self, body: Body, news: Vec<Update>) -> Packet {
+    fn make_packet_with(&self, body: Body, updates: Vec<Update>) -> Packet {
         Packet {
             from: self.own.clone(),
             digest: Digest {
@@ -346,7 +348,7 @@
                 members: self.digest(),
             },
             body,
-            updates: news,
+            updates,
         }
     }
 }
--- a/crates/lentillift-fleet/src/sync.rs
+++ b/crates/lentillift-fleet/src/sync.rs
@@ -7,7 +7,7 @@
 
 use crate::member::Member;
 use crate::value::Key;
-use crate::value::LIMIT;
+use crate::value::MAX_VALUE_BYTES;
 use crate::value::Stamp;
 use crate::value::Store;
 use lentillift_core::id;
@@ -18,13 +18,13 @@
 /// Maximum bytes of a value in one message.
 ///
 /// At a gigabit per second a chunk delays the messages behind it by half a millisecond.
-pub const CHUNK: usize = 64 * 1024;
+pub const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Maximum number of values that are fetched concurrently.
-const MOST: usize = 8;
+const MAX_FETCHES: usize = 8;
 
 /// Maximum number of peers remembered as holders of a value.
-const HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// Time after which a peer that sends no chunk is given up.
 const TIMEOUT: Duration = Duration::from_millis(500);
@@ -68,12 +68,12 @@
 }
 
 /// A message and the peer that it is sent to.
-pub type Letter = (id::Host, Message);
+pub type Envelope = (id::Host, Message);
 
 /// State of fetching one value.
 #[derive(Debug)]
-struct Want {
-    mark: Stamp,
+struct PendingValue {
+    stamp: Stamp,
     /// Peers that announced the value; the last one is asked.
     holders: Vec<id::Host>,
     body: Vec<u8>,
@@ -83,11 +83,11 @@
 
 /// A value that was fetched completely.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Arrival {
+pub struct FetchedValue {
     /// Key of the value.
     pub key: Key,
     /// Stamp that the sender gave for the value.
-    pub mark: Stamp,
+    pub stamp: Stamp,
     /// The configuration service's version number of the value.
     pub version: u64,
     /// Bytes of the value.
@@ -97,7 +97,7 @@
 /// Values that this process fetches from peers.
 #[derive(Debug, Default)]
 pub struct Fetch {
-    wants: BTreeMap<Key, Want>,
+    wants: BTreeMap<Key, PendingValue>,
 }
 
 impl Fetch {
@@ -107,36 +107,40 @@
     }
 
     /// Records that `holder` has a value with a higher stamp than the one in force here.
-    pub fn want(&mut self, key: &Key, mark: Stamp, holder: &id::Host) {
-        let want = self.wants.entry(key.clone()).or_insert_with(|| Want {
-            mark,
-            holders: Vec::new(),
-            body: Vec::new(),
-            deadline: None,
-        });
-        if mark > want.mark {
-            *want = Want {
-                mark,
+    pub fn want(&mut self, key: &Key, stamp: Stamp, holder: &id::Host) {
+        let want = self
+            .wants
+            .entry(key.clone())
+            .or_insert_with(|| PendingValue {
+                stamp,
+                holders: Vec::new(),
+                body: Vec::new(),
+                deadline: None,
+            });
+        if stamp > want.stamp {
+            *want = PendingValue {
+                stamp,
                 holders: Vec::new(),
                 body: Vec::new(),
                 deadline: None,
             };
         }
-        if mark == want.mark && want.holders.len() < HOLDERS && !want.holders.contains(holder) {
+        if stamp == want.stamp && want.holders.len() < MAX_HOLDERS && !want.holders.contains(holder)
+        {
             // The peer that is asked stays last.
             want.holders.insert(0, holder.clone());
         }
     }
 
     /// Stops fetching a value if it, or one with a higher stamp, is in force.
-    pub fn settle(&mut self, key: &str, mark: Stamp) {
-        if self.wants.get(key).is_some_and(|want| want.mark <= mark) {
+    pub fn cancel_up_to(&mut self, key: &str, stamp: Stamp) {
+        if self.wants.get(key).is_some_and(|want| want.stamp <= stamp) {
             self.wants.remove(key);
         }
     }
 
     /// Requests wanted values, and moves on to another peer where one does not send.
-    pub fn tick(&mut self, now: Time) -> Vec<Letter> {
+    pub fn tick(&mut self, now: Time) -> Vec<Envelope> {
         for want in self.wants.values_mut() {
             if want.deadline.is_some_and(|deadline| deadline <= now) {
                 want.holders.pop();
@@ -147,13 +151,13 @@
         // Without any holder left, the next differing digest starts the fetch again.
         self.wants.retain(|_, want| !want.holders.is_empty());
         let asked = self.wants.values().filter(|want| want.deadline.is_some());
-        let room = MOST.saturating_sub(asked.count());
+        let space = MAX_FETCHES.saturating_sub(asked.count());
         let idle = self.wants.iter_mut().filter(|(_, w)| w.deadline.is_none());
-        let letters = idle.take(room).filter_map(|(key, want)| {
+        let envelopes = idle.take(space).filter_map(|(key, want)| {
             want.deadline = Some(now + TIMEOUT);
-            pull(key, want)
+            pull_message(key, want)
         });
-        letters.collect()
+        envelopes.collect()
     }
 
     /// Handles a chunk; returns the value once it is complete, or the request for the next chunk.
@@ -162,10 +166,10 @@
         now: Time,
         from: &id::Host,
         chunk: Message,
-    ) -> (Option<Arrival>, Option<Letter>) {
+    ) -> (Option<FetchedValue>, Option<Envelope>) {
         let Message::Chunk {
             key,
-            stamp: mark,
+            stamp,
             version,
             offset,
             total,
@@ -179,14 +183,14 @@
         };
         // The holder may have a value with a higher stamp by now, which is as good if it is sent
         // from its start.
-        if offset == 0 && mark > want.mark {
-            want.mark = mark;
+        if offset == 0 && stamp > want.stamp {
+            want.stamp = stamp;
             want.body.clear();
         }
         let expected = want.holders.last() == Some(from)
-            && want.mark == mark
+            && want.stamp == stamp
             && want.body.len() == offset as usize
-            && total as usize <= LIMIT
+            && total as usize <= MAX_VALUE_BYTES
             && !bytes.is_empty();
         if !expected {
             return (None, None);
@@ -194,25 +198,25 @@
         want.body.extend_from_slice(&bytes);
         if want.body.len() < total as usize {
             want.deadline = Some(now + TIMEOUT);
-            return (None, pull(&key, want));
+            return (None, pull_message(&key, want));
         }
         let body = std::mem::take(&mut want.body);
         self.wants.remove(&key);
-        let arrival = Arrival {
+        let fetched = FetchedValue {
             key,
-            mark,
+            stamp,
             version,
             body,
         };
-        (Some(arrival), None)
+        (Some(fetched), None)
     }
 }
 
-fn pull(key: &Key, want: &Want) -> Option<Letter> {
+fn pull_message(key: &Key, want: &PendingValue) -> Option<Envelope> {
     let holder = want.holders.last()?.clone();
     let message = Message::Pull {
         key: key.clone(),
-        stamp: want.mark,
+        stamp: want.stamp,
         offset: want.body.len() as u32,
     };
     Some((holder, message))
@@ -221,19 +225,19 @@
 /// The chunk that a peer requested, of the value in force.
 ///
 /// A value that has replaced the requested one is sent from its start.
-pub fn serve(store: &Store, key: &Key, mark: Stamp, offset: u32) -> Option<Message> {
+pub fn serve(store: &Store, key: &Key, stamp: Stamp, offset: u32) -> Option<Message> {
     let value = store.get(key)?;
-    if value.mark < mark {
+    if value.stamp < stamp {
         return None;
     }
-    let offset = if value.mark == mark { offset } else { 0 };
+    let offset = if value.stamp == stamp { offset } else { 0 };
     let rest = value.body.get(offset as usize..)?;
     Some(Message::Chunk {
         key: key.clone(),
-        stamp: value.mark,
+        stamp: value.stamp,
         version: value.version,
         offset,
         total: value.body.len() as u32,
-        bytes: rest[..rest.len().min(CHUNK)].to_vec(),
+        bytes: rest[..rest.len().min(CHUNK_BYTES)].to_vec(),
     })
 }
--- a/crates/lentillift-fleet/src/value.rs
+++ b/crates/lentillift-fleet/src/value.rs
@@ -22,13 +22,13 @@
 pub type Key = Arc<str>;
 
 /// Largest value, in bytes; the platform stores no larger ones.
-pub const LIMIT: usize = 1024 * 1024;
+pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// Longest key, in bytes.
-const KEY_LIMIT: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Prefix of the keys of placements.
-const SERVICE: &str = "service/";
+const SERVICE_PREFIX: &str = "service/";
 
 /// Orders the values of one key: the one with the higher stamp is in force.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub struct Value {
     /// Decides whether another value replaces this one.
-    pub mark: Stamp,
+    pub stamp: Stamp,
     /// The configuration service's version number of the key when the value was read there.
     pub version: u64,
     /// Bytes of the value, as published.
@@ -82,7 +82,8 @@
 
 /// Whether `key` is one that the system reads; values under other keys are ignored.
 pub fn is_known(key: &str) -> bool {
-    key.len() <= KEY_LIMIT && (key == "config" || key == "hosts" || key.starts_with(SERVICE))
+    key.len() <= MAX_KEY_BYTES
+        && (key == "config" || key == "hosts" || key.starts_with(SERVICE_PREFIX))
 }
 
 impl Store {
@@ -97,14 +98,14 @@
     }
 
     /// Stamp of the value in force under `key`, or the lowest stamp if there is none.
-    pub fn mark(&self, key: &str) -> Stamp {
+    pub fn stamp(&self, key: &str) -> Stamp {
         self.get(key)
-            .map_or_else(Stamp::default, |value| value.mark)
+            .map_or_else(Stamp::default, |value| value.stamp)
     }
 
     /// All keys with the stamps of their values.
-    pub fn marks(&self) -> impl Iterator<Item = (&Key, Stamp)> {
-        self.held.iter().map(|(key, value)| (key, value.mark))
+    pub fn stamps(&self) -> impl Iterator<Item = (&Key, Stamp)> {
+        self.held.iter().map(|(key, value)| (key, value.stamp))
     }
 
     /// Order-independent hash of all keys and stamps; equal for processes with the same values in
@@ -126,16 +127,16 @@
     pub fn offer(&mut self, key: &str, version: u64, body: &[u8]) -> Result<Offer> {
         let (revision, checked) = check(key, body)?;
         let sum = XxHash64::oneshot(0, body);
-        let mark = Stamp {
+        let stamp = Stamp {
             revision,
             checksum: sum,
         };
-        if mark == self.mark(key)
+        if stamp == self.stamp(key)
             && let Some(held) = self.held.get_mut(key)
         {
             held.version = held.version.max(version);
         }
-        if mark <= self.mark(key) {
+        if stamp <= self.stamp(key) {
             return Ok(Offer::Old);
         }
         match checked {
@@ -146,54 +147,57 @@
             }
         }
         let value = Value {
-            mark,
+            stamp,
             version,
             body: body.into(),
         };
-        self.digest ^= hash(key, mark);
+        self.digest ^= hash(key, stamp);
         if let Some(old) = self.held.insert(key.into(), value) {
-            self.digest ^= hash(key, old.mark);
+            self.digest ^= hash(key, old.stamp);
         }
-        Ok(Offer::Taken(mark))
+        Ok(Offer::Taken(stamp))
     }
 }
 
-fn hash(key: &str, mark: Stamp) -> u64 {
+fn hash(key: &str, stamp: Stamp) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
-    (key, mark).hash(&mut hasher);
+    (key, stamp).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Parses and checks a value.
 fn check(key: &str, body: &[u8]) -> Result<(id::Revision, Checked)> {
-    if body.len() > LIMIT {
-        let cause = format!("found {} bytes, at most {LIMIT} is right", body.len());
+    if body.len() > MAX_VALUE_BYTES {
+        let cause = format!(
+            "found {} bytes, at most {MAX_VALUE_BYTES} is right",
+            body.len()
+        );
         return Err(Error::new(Step::Check, key, cause));
     }
     let text = std::str::from_utf8(body).map_err(|e| Error::new(Step::Decode, key, e))?;
-    match key.strip_prefix(SERVICE) {
+    match key.strip_prefix(SERVICE_PREFIX) {
         Some(service) => {
             let placement: Placement = jsonc::parse(key, text)?;
-            refuse(key, placement.faults())?;
+            fail_on_faults(key, placement.faults())?;
             let revision = placement.revision;
             let checked = Checked::Placement(service.into(), Arc::new(placement));
             Ok((revision, checked))
         }
         None if key == "config" => {
             let config: Config = jsonc::parse(key, text)?;
-            refuse(key, config.faults())?;
+            fail_on_faults(key, config.faults())?;
             Ok((config.revision, Checked::Config(Arc::new(config))))
         }
         None if key == "hosts" => {
             let roster: Roster = jsonc::parse(key, text)?;
-            refuse(key, roster.faults())?;
+            fail_on_faults(key, roster.faults())?;
             Ok((roster.revision, Checked::Roster(Arc::new(roster))))
         }
         None => Err(Error::new(Step::Check, key, "no such key")),
     }
 }
 
-fn refuse(key: &str, faults: Vec<String>) -> Result<()> {
+fn fail_on_faults(key: &str, faults: Vec<String>) -> Result<()> {
     if faults.is_empty() {
         return Ok(());
     }
--- a/crates/lentillift-fleet/src/view.rs
+++ b/crates/lentillift-fleet/src/view.rs
@@ -97,8 +97,8 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(from = "Seen", into = "Seen")]
 pub struct View {
-    /// Increases with every change of the view except to [`Self::fresh_until`]; 0 for a view that
-    /// no process has updated.
+    /// Changes with every part of the view except [`Self::fresh_until`]; 0 for a view made by
+    /// [`Self::new`].
     pub generation: u64,
     /// Time from which the view is too old to act on, unless it is renewed.
     ///
@@ -152,7 +152,7 @@
     }
 
     /// Derives the next view, with new values if there are any.
-    pub fn follow(&self, values: Option<&Values>, hosts: BTreeMap<id::Host, Host>) -> Self {
+    pub fn updated(&self, values: Option<&Values>, hosts: BTreeMap<id::Host, Host>) -> Self {
         let generation = self.generation + 1;
         // Choosing owners costs backend servers times hosts; most changes of hosts, such as a new
         // incarnation, leave the choice unchanged.
@@ -180,7 +180,7 @@
     /// They depend only on the published list and the failure domain. Weighing all hosts again for
     /// each backend server at every other change would block the task that answers probes for half
     /// a second at the target size, and others would consider the process dead.
-    fn kept_guardians(
+    fn unchanged_guardians(
         &self,
         roster: Option<&Arc<Roster>>,
         backend: &id::Backend,
@@ -235,8 +235,10 @@
     let mut backends = HashMap::new();
     for (service, placement) in &values.placements {
         for (name, server) in &placement.servers {
-            let kept = old.and_then(|old| old.kept_guardians(roster, name, &server.domain));
-            let guardians = kept.unwrap_or_else(|| guardians(values, alive, name, &server.domain));
+            let unchanged =
+                old.and_then(|old| old.unchanged_guardians(roster, name, &server.domain));
+            let guardians =
+                unchanged.unwrap_or_else(|| guardians(values, alive, name, &server.domain));
             let backend = Backend {
                 service: service.clone(),
                 server: server.clone(),
@@ -261,7 +263,7 @@
         return chosen.cloned().into_iter().collect();
     };
     let mut guardians = guardian::choose(backend, domain, roster);
-    guardian::prefer(&mut guardians, roster, domain);
+    guardian::prefer_domain(&mut guardians, roster, domain);
     guardians
 }
 
--- a/crates/lentillift-fleet/src/picture.rs
+++ b/crates/lentillift-fleet/src/view_state.rs
@@ -14,61 +14,62 @@
 /// Period at which an otherwise unchanged view is renewed.
 ///
 /// Often enough that its deadline stays far away in normal operation.
-const RENEWAL: Duration = Duration::from_millis(250);
+const RENEWAL_PERIOD: Duration = Duration::from_millis(250);
 
 /// The latest view and what has changed since.
 #[derive(Debug, Default)]
-pub(crate) struct Picture {
+pub(crate) struct ViewState {
     view: Arc<View>,
-    hosts: bool,
-    values: bool,
-    drawn: Time,
+    hosts_changed: bool,
+    values_changed: bool,
+    renewed_at: Time,
 }
 
-impl Picture {
+impl ViewState {
     /// The latest view.
     pub(crate) fn view(&self) -> &Arc<View> {
         &self.view
     }
 
     /// Marks the view as outdated after a change of a host.
-    pub(crate) fn touch_hosts(&mut self) {
-        self.hosts = true;
+    pub(crate) fn mark_hosts_changed(&mut self) {
+        self.hosts_changed = true;
     }
 
     /// Marks the view as outdated after a change of a value, which may also put hosts in or out of
     /// service.
-    pub(crate) fn touch_values(&mut self) {
-        self.hosts = true;
-        self.values = true;
+    pub(crate) fn mark_values_changed(&mut self) {
+        self.hosts_changed = true;
+        self.values_changed = true;
     }
 }
 
 impl<R> Fleet<R> {
     /// Rebuilds the view if something in it has changed or it must be renewed.
-    pub(crate) fn draw(&mut self, now: Time) -> Option<Arc<View>> {
-        let until = self.freshness.until();
-        let old = &self.picture.view;
-        let renewal = until != old.fresh_until && self.picture.drawn + RENEWAL <= now;
+    pub(crate) fn refresh_view(&mut self, now: Time) -> Option<Arc<View>> {
+        let deadline = self.freshness.deadline();
+        let old = &self.view_state.view;
+        let renewal =
+            deadline != old.fresh_until && self.view_state.renewed_at + RENEWAL_PERIOD <= now;
         // A process that lost or regained its proof must act on that at once.
-        let turned = old.is_fresh(now) != (now < until);
-        if !self.picture.hosts && !renewal && !turned {
+        let freshness_changed = old.is_fresh(now) != (now < deadline);
+        if !self.view_state.hosts_changed && !renewal && !freshness_changed {
             return None;
         }
-        let mut view = match self.picture.hosts {
+        let mut view = match self.view_state.hosts_changed {
             true => {
-                let values = self.picture.values.then(|| self.store.values());
-                old.follow(values, self.hosts())
+                let values = self.view_state.values_changed.then(|| self.store.values());
+                old.updated(values, self.hosts())
             }
             false => View::clone(old),
         };
-        view.fresh_until = until;
+        view.fresh_until = deadline;
         let view = Arc::new(view);
-        self.picture = Picture {
+        self.view_state = ViewState {
             view: view.clone(),
-            hosts: false,
-            values: false,
-            drawn: now,
+            hosts_changed: false,
+            values_changed: false,
+            renewed_at: now,
         };
         Some(view)
     }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -8,7 +8,7 @@
 use lentillift_fleet::follow::FANOUT;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::relay_path::MOST;
+use lentillift_fleet::follow::relay_path::MAX_HOSTS;
 use lentillift_fleet::follow::relay_path::Refused;
 use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::follow::search::LeaveReason;
@@ -45,8 +45,8 @@
     Follow {
         host: usize,
         until: Option<Time>,
-        heard: Time,
-        seen: u64,
+        last_frame: Time,
+        seen_change: u64,
     },
 }
 
@@ -56,17 +56,17 @@
     me: Candidate,
     search: Search,
     task: Task,
-    way: RelayPath,
+    relay_path: RelayPath,
     steady: bool,
     proved: Option<Time>,
     revision: u64,
     /// Increases whenever followers are informed at once.
-    changed: u64,
+    changes: u64,
 }
 
 /// A fleet, the published revision, and the faults of the network.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Time,
     nodes: Vec<Node>,
     revision: u64,
@@ -83,7 +83,7 @@
     failed: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(each: usize) -> Self {
         let names = DOMAINS.iter().flat_map(|domain| {
             (0..each).map(move |number| Candidate {
@@ -93,18 +93,18 @@
         });
         // Hosts start one after the other, so that each sends to its followers at different
         // moments.
-        let start = |place: usize| OPTIONS.heartbeat().mul_f64(place as f64 * 0.37 % 1.0);
-        let node = |(place, me): (usize, Candidate)| Node {
+        let start = |index: usize| OPTIONS.heartbeat().mul_f64(index as f64 * 0.37 % 1.0);
+        let node = |(index, me): (usize, Candidate)| Node {
             me,
             search: Search::default(),
             task: Task::Search {
-                at: Time::ZERO + start(place),
+                at: Time::ZERO + start(index),
             },
-            way: RelayPath::default(),
+            relay_path: RelayPath::default(),
             steady: true,
             proved: None,
             revision: 0,
-            changed: 0,
+            changes: 0,
         };
         let nodes: Vec<Node> = names.enumerate().map(node).collect();
         let hosts = nodes.len();
@@ -142,7 +142,7 @@
         self.revision += 1;
     }
 
-    fn place(&self, name: &id::Host) -> usize {
+    fn index_of(&self, name: &id::Host) -> usize {
         let found = self.nodes.iter().position(|node| node.me.host == *name);
         found.expect("an origin is one of the hosts")
     }
@@ -180,9 +180,9 @@
             Task::Follow {
                 host,
                 until,
-                heard,
-                seen,
-            } => self.follow(node, host, until, heard, seen),
+                last_frame,
+                seen_change,
+            } => self.follow(node, host, until, last_frame, seen_change),
         }
     }
 
@@ -215,7 +215,7 @@
         state.search.left(origin, left, now);
         if *origin == Origin::Service && left == LeaveReason::Failed {
             state.steady = false;
-            state.changed += 1;
+            state.changes += 1;
         }
         state.task = Task::Search { at: now };
     }
@@ -224,9 +224,9 @@
         let Origin::Host(name) = &origin else {
             return;
         };
-        let host = self.place(name);
+        let host = self.index_of(name);
         if self.reach(node, host) {
-            self.hear(node, host, until);
+            self.receive(node, host, until);
         } else if self.now >= by {
             self.leave(node, &origin, LeaveReason::Failed);
         }
@@ -245,17 +245,17 @@
         }
         let (now, revision) = (self.now, self.revision);
         let state = &mut self.nodes[node];
-        let way = RelayPath::reader(&state.me.host);
+        let relay_path = RelayPath::reader(&state.me.host);
         let is_quiet = state.revision == revision;
         // A watch returns at each change, and otherwise after its time.
         let returned = state
             .proved
             .is_none_or(|proved| !is_quiet || now >= proved + OPTIONS.watch());
         let proved = if returned { Some(now) } else { state.proved };
-        let anew = OPTIONS.is_newer_proof(state.proved, proved);
-        let news = !is_quiet || state.way != way || !state.steady || anew;
-        state.changed += u64::from(news);
-        state.way = way;
+        let is_newer = OPTIONS.is_newer_proof(state.proved, proved);
+        let has_update = !is_quiet || state.relay_path != relay_path || !state.steady || is_newer;
+        state.changes += u64::from(has_update);
+        state.relay_path = relay_path;
         state.steady = true;
         state.revision = revision;
         state.proved = proved;
@@ -265,7 +265,14 @@
         };
     }
 
-    fn follow(&mut self, node: usize, host: usize, until: Option<Time>, heard: Time, seen: u64) {
+    fn follow(
+        &mut self,
+        node: usize,
+        host: usize,
+        until: Option<Time>,
+        last_frame: Time,
+        seen_change: u64,
+    ) {
         let origin = Origin::Host(self.nodes[host].me.host.clone());
         let over = match until {
             Some(until) => self.now >= until,
@@ -279,38 +286,38 @@
             return self.leave(node, &origin, LeaveReason::Failed);
         }
         if !self.reach(node, host) {
-            if self.now >= heard + OPTIONS.frame_timeout() {
+            if self.now >= last_frame + OPTIONS.frame_timeout() {
                 self.leave(node, &origin, LeaveReason::Failed);
             }
             return;
         }
-        if self.nodes[host].changed != seen || self.now >= heard + OPTIONS.heartbeat() {
-            self.hear(node, host, until);
+        if self.nodes[host].changes != seen_change || self.now >= last_frame + OPTIONS.heartbeat() {
+            self.receive(node, host, until);
         }
     }
 
     /// One message of `host` arrives at `node`.
-    fn hear(&mut self, node: usize, host: usize, until: Option<Time>) {
-        let teller = &self.nodes[host];
-        let origin = Origin::Host(teller.me.host.clone());
-        let way = RelayPath::extend(teller.way.hosts(), &self.nodes[node].me.host);
-        let (revision, proved) = (teller.revision, teller.proved);
-        let (steady, seen) = (teller.steady, teller.changed);
-        let Ok(way) = way else {
+    fn receive(&mut self, node: usize, host: usize, until: Option<Time>) {
+        let sender = &self.nodes[host];
+        let origin = Origin::Host(sender.me.host.clone());
+        let relay_path = RelayPath::extend(sender.relay_path.hosts(), &self.nodes[node].me.host);
+        let (revision, proved) = (sender.revision, sender.proved);
+        let (steady, seen_change) = (sender.steady, sender.changes);
+        let Ok(relay_path) = relay_path else {
             return self.leave(node, &origin, LeaveReason::Failed);
         };
         let now = self.now;
         let state = &mut self.nodes[node];
-        let anew = OPTIONS.is_newer_proof(state.proved, state.proved.max(proved));
-        let news = state.revision < revision || state.way != way || anew;
+        let is_newer = OPTIONS.is_newer_proof(state.proved, state.proved.max(proved));
+        let has_update = state.revision < revision || state.relay_path != relay_path || is_newer;
         state.revision = state.revision.max(revision);
         state.proved = state.proved.max(proved);
         if !steady {
             return self.leave(node, &origin, LeaveReason::Failed);
         }
-        state.way = way;
+        state.relay_path = relay_path;
         state.steady = true;
-        state.changed += u64::from(news);
+        state.changes += u64::from(has_update);
         if state
             .proved
             .is_none_or(|proved| now > proved + OPTIONS.max_age())
@@ -320,8 +327,8 @@
         state.task = Task::Follow {
             host,
             until,
-            heard: now,
-            seen,
+            last_frame: now,
+            seen_change,
         };
     }
 
@@ -376,15 +383,15 @@
 #[test]
 fn cut_off_domains_do_not_follow_each_other_in_a_ring() {
     for turned_away in 0..16_usize {
-        let mut world = World::new(4);
-        world.run(BOUND * 2);
-        assert!(world.behind().is_empty());
+        let mut simulation = Simulation::new(4);
+        simulation.run(BOUND * 2);
+        assert!(simulation.behind().is_empty());
         let groups = (0..16).map(|node| u8::from(node >= 8)).collect();
         let turns_away = (0..16).map(|node| node == turned_away).collect();
-        world.cut(groups, turns_away);
-        world.run(BOUND);
+        simulation.cut(groups, turns_away);
+        simulation.run(BOUND);
         assert_eq!(
-            world.behind(),
+            simulation.behind(),
             Vec::<&str>::new(),
             "{turned_away} is turned away"
         );
@@ -395,18 +402,18 @@
 /// is too old at the last ones. They would leave working origins and request the same data from
 /// others.
 #[test]
-fn no_origin_is_left_in_a_fleet_that_is_well() {
+fn no_origin_is_left_in_a_healthy_fleet() {
     for each in [3, 23, 40] {
-        let mut world = World::new(each);
-        world.run(BOUND);
-        let before = world.failed;
-        let end = world.now + BOUND;
+        let mut simulation = Simulation::new(each);
+        simulation.run(BOUND);
+        let before = simulation.failed;
+        let end = simulation.now + BOUND;
         let mut oldest = Duration::ZERO;
-        while world.now < end {
-            world.run(TICK);
-            oldest = oldest.max(world.oldest());
+        while simulation.now < end {
+            simulation.run(TICK);
+            oldest = oldest.max(simulation.oldest());
         }
-        assert_eq!(world.failed, before, "with {each} a failure domain");
+        assert_eq!(simulation.failed, before, "with {each} a failure domain");
         // The remaining time until an origin is left is for a slow service.
         let allowed = OPTIONS.watch() + OPTIONS.heartbeat();
         assert!(oldest < allowed, "{oldest:?} with {each} a failure domain");
@@ -418,11 +425,11 @@
 /// the watch returns; all hosts would leave working origins at the same moment, and some would read
 /// the service themselves.
 #[test]
-fn knowledge_is_proved_again_in_time_after_a_change() {
+fn data_is_proved_current_in_time_after_a_change() {
     let ages = [0, 1, 5, 10].map(|parts| OPTIONS.slack() * parts / 10);
     for age in ages {
-        let asked = age + OPTIONS.pause();
-        let proved = asked + OPTIONS.next_watch(asked);
+        let requested = age + OPTIONS.pause();
+        let proved = requested + OPTIONS.next_watch(requested);
         assert!(proved + OPTIONS.slack() <= OPTIONS.max_age(), "{age:?}");
     }
     assert_eq!(OPTIONS.next_watch(Duration::ZERO), OPTIONS.watch());
@@ -431,7 +438,7 @@
 /// A burst of requests waits in the sockets of a host that was paused. Those answered before the
 /// host has received the updates would use replaced data; those held back while the service is
 /// unavailable would wait for nothing.
-macro_rules! admits {
+macro_rules! admission_cases {
     ($($name:ident: $age:expr, $away:expr => $admission:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -442,16 +449,16 @@
     )*};
 }
 
-admits! {
-    fresh_knowledge_serves: 20, None => Admission::Serve;
-    knowledge_within_the_bound_serves: 3000, None => Admission::Serve;
-    a_host_that_stood_still_waits_for_news: 3001, None => Admission::Await(OPTIONS.frame_timeout());
-    old_knowledge_serves_while_the_service_is_away: 60_000, Some(800) => Admission::Serve;
-    old_knowledge_waits_once_the_service_is_back: 60_000, Some(3001) => Admission::Await(OPTIONS.frame_timeout());
+admission_cases! {
+    fresh_data_is_served: 20, None => Admission::Serve;
+    data_within_the_bound_is_served: 3000, None => Admission::Serve;
+    paused_host_waits_for_an_update: 3001, None => Admission::Await(OPTIONS.frame_timeout());
+    old_data_is_served_while_the_service_is_unavailable: 60_000, Some(800) => Admission::Serve;
+    old_data_waits_once_the_service_is_available_again: 60_000, Some(3001) => Admission::Await(OPTIONS.frame_timeout());
 }
 
 /// A host loses its origin when no time is left for a failed attempt at another host.
-macro_rules! hurries {
+macro_rules! urgency_cases {
     ($($name:ident: $age:expr => $urgency:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -460,10 +467,10 @@
     )*};
 }
 
-hurries! {
-    a_host_that_starts_asks_other_hosts_first: None => Urgency::Low;
-    there_is_time_for_one_vain_try: Some(OPTIONS.max_age() - OPTIONS.open_timeout()) => Urgency::Low;
-    there_is_no_time_for_a_vain_try: Some(OPTIONS.max_age() - OPTIONS.open_timeout() + TICK) => Urgency::High;
+urgency_cases! {
+    starting_host_tries_other_hosts_first: None => Urgency::Low;
+    time_is_left_for_one_failed_attempt: Some(OPTIONS.max_age() - OPTIONS.open_timeout()) => Urgency::Low;
+    no_time_is_left_for_a_failed_attempt: Some(OPTIONS.max_age() - OPTIONS.open_timeout() + TICK) => Urgency::High;
 }
 
 /// Published data is forwarded from host to host. When one host sent a copy to each host of its
@@ -471,12 +478,12 @@
 /// answered by a configuration that had been replaced seconds before. Metrics showed the links of
 /// the sending hosts full while all others were idle.
 #[test]
-fn nobody_is_followed_by_more_than_a_few() {
+fn number_of_followers_is_bounded() {
     for each in [1, 2, 3, 15, 23, 95] {
-        let world = World::new(each);
+        let simulation = Simulation::new(each);
         let mut followers: BTreeMap<Origin, usize> = BTreeMap::new();
-        for node in 0..world.nodes.len() {
-            let origin = world.order(node).first().cloned().expect("an origin");
+        for node in 0..simulation.nodes.len() {
+            let origin = simulation.order(node).first().cloned().expect("an origin");
             *followers.entry(origin).or_default() += 1;
         }
         let most = followers.values().max().copied();
@@ -486,11 +493,11 @@
 }
 
 #[test]
-fn a_way_over_oneself_or_beyond_reason_is_refused() {
+fn invalid_relay_paths_are_rejected() {
     let host = |number: usize| -> id::Host { format!("h{number}").as_str().into() };
-    let long: Vec<id::Host> = (0..MOST).map(host).collect();
-    let way = RelayPath::extend(&long[..2], &host(7)).expect("a way of three");
-    assert_eq!(way.hosts(), [host(0), host(1), host(7)]);
+    let long: Vec<id::Host> = (0..MAX_HOSTS).map(host).collect();
+    let relay_path = RelayPath::extend(&long[..2], &host(7)).expect("a path of three hosts");
+    assert_eq!(relay_path.hosts(), [host(0), host(1), host(7)]);
     assert_eq!(RelayPath::extend(&long[..2], &host(1)), Err(Refused::Ring));
     assert_eq!(RelayPath::extend(&long, &host(77)), Err(Refused::TooLong));
     assert_eq!(
@@ -501,16 +508,16 @@
 
 /// Hosts in the middle of the ranking, on which most others depend, are cut off.
 #[test]
-fn hosts_below_those_that_are_cut_off_find_another_way() {
+fn followers_of_isolated_hosts_find_another_origin() {
     for seed in 0..4 {
-        let mut world = World::new(23);
-        world.run(BOUND * 2);
-        let hosts = world.nodes.len();
+        let mut simulation = Simulation::new(23);
+        simulation.run(BOUND * 2);
+        let hosts = simulation.nodes.len();
         let groups = (0..hosts).map(|node| u8::from(node % 4 == seed)).collect();
         let turned_away = (0..hosts).map(|node| node % 7 == seed).collect();
-        world.cut(groups, turned_away);
-        world.run(BOUND);
-        assert_eq!(world.behind(), Vec::<&str>::new(), "seed {seed}");
+        simulation.cut(groups, turned_away);
+        simulation.run(BOUND);
+        assert_eq!(simulation.behind(), Vec::<&str>::new(), "seed {seed}");
     }
 }
 
@@ -519,15 +526,15 @@
 
     /// As the next test, with failure domains in which updates pass several hosts.
     #[test]
-    fn whoever_can_know_does_within_the_bound_also_over_relays(
+    fn hosts_update_within_the_bound_over_relays(
         groups in prop::collection::vec(0u8..3, 56),
         turned_away in prop::collection::vec(prop::bool::weighted(0.25), 56),
     ) {
-        let mut world = World::new(14);
-        world.run(BOUND * 2);
-        world.cut(groups, turned_away);
-        world.run(BOUND);
-        prop_assert_eq!(world.behind(), Vec::<&str>::new());
+        let mut simulation = Simulation::new(14);
+        simulation.run(BOUND * 2);
+        simulation.cut(groups, turned_away);
+        simulation.run(BOUND);
+        prop_assert_eq!(simulation.behind(), Vec::<&str>::new());
     }
 }
 
@@ -536,21 +543,21 @@
     /// combination, twice in a row. Within the bound every host that can obtain the published
     /// revision has it, and rings last no longer than messages need to reveal them.
     #[test]
-    fn whoever_can_know_what_is_published_does_within_the_bound(
+    fn hosts_update_within_the_bound(
         first in prop::collection::vec((0u8..3, prop::bool::weighted(0.25)), 12),
         second in prop::collection::vec((0u8..3, prop::bool::weighted(0.25)), 12),
         between in 100u64..4000,
     ) {
-        let mut world = World::new(3);
-        world.run(BOUND * 2);
+        let mut simulation = Simulation::new(3);
+        simulation.run(BOUND * 2);
         for (cut, pause) in [(first, Duration::from_millis(between)), (second, BOUND)] {
             let (groups, turned_away) = cut.into_iter().unzip();
-            world.cut(groups, turned_away);
-            world.run(pause);
+            simulation.cut(groups, turned_away);
+            simulation.run(pause);
         }
-        prop_assert_eq!(world.behind(), Vec::<&str>::new());
+        prop_assert_eq!(simulation.behind(), Vec::<&str>::new());
         // A ring shows in as many ticks as messages need to go round once.
-        prop_assert!(world.rings < 40, "rings in {} ticks", world.rings);
+        prop_assert!(simulation.rings < 40, "rings in {} ticks", simulation.rings);
     }
 }
 
@@ -561,17 +568,17 @@
     /// host that reaches the service tried silent hosts while its data got older than the bound,
     /// and tried the service last.
     #[test]
-    fn whoever_reaches_the_service_asks_it_in_time(
+    fn hosts_that_reach_the_service_read_it_in_time(
         groups in prop::collection::vec(0u8..4, 28),
         turned_away in prop::collection::vec(prop::bool::weighted(0.4), 28),
     ) {
-        let mut world = World::new(7);
-        world.run(BOUND * 2);
-        world.cut(groups, turned_away);
-        let end = world.now + BOUND * 3;
-        while world.now < end {
-            world.run(TICK);
-            let oldest = world.oldest_that_can_read();
+        let mut simulation = Simulation::new(7);
+        simulation.run(BOUND * 2);
+        simulation.cut(groups, turned_away);
+        let end = simulation.now + BOUND * 3;
+        while simulation.now < end {
+            simulation.run(TICK);
+            let oldest = simulation.oldest_that_can_read();
             // An origin is left when its data is too old, or with the next message.
             let allowed = OPTIONS.max_age() + OPTIONS.heartbeat();
             prop_assert!(oldest <= allowed, "{oldest:?}");
--- a/crates/lentillift-fleet/tests/freshness.rs
+++ b/crates/lentillift-fleet/tests/freshness.rs
@@ -25,7 +25,7 @@
             Answer(sent) => freshness.prove(Duration::from_millis(*sent)),
         }
     }
-    Duration::from_millis(now) < freshness.until()
+    Duration::from_millis(now) < freshness.deadline()
 }
 
 /// Turns each case into a test.
@@ -45,7 +45,7 @@
     /// The process has just started and has reached nobody yet.
     nothing_is_proved_at_the_start: [Tick(100)], 150 => false;
 
-    answer_proves: [Tick(100), Answer(100), Tick(200)], 250 => true;
+    answer_proves_freshness: [Tick(100), Answer(100), Tick(200)], 250 => true;
 
     /// The process was stopped and resumes. Work at hand is handled before anything else runs.
     pause_is_seen_before_any_tick: [Tick(100), Answer(100), Tick(200)], 1300 => false;
@@ -57,10 +57,10 @@
     /// The same with an answer that was received before the pause.
     earlier_answer_proves_nothing: [Tick(100), Answer(100), Tick(1500)], 1550 => false;
 
-    question_after_the_pause_proves: [Tick(100), Tick(1500), Answer(1500)], 1550 => true;
+    request_after_the_pause_proves_freshness: [Tick(100), Tick(1500), Answer(1500)], 1550 => true;
 
     /// The process runs and receives no answer for three seconds.
-    silence_ends_it: [
+    silence_ends_freshness: [
         Tick(100), Answer(100), Tick(900), Tick(1700), Tick(2500), Tick(3050),
     ], 3150 => false;
 }
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -54,7 +54,7 @@
 
 fn domains(roster: &Roster, backend: &str, domain: &str) -> BTreeSet<String> {
     let guardians = guardian::choose(backend, domain, roster);
-    assert_eq!(guardians.len(), guardian::MOST);
+    assert_eq!(guardians.len(), guardian::MAX_COUNT);
     let entries = guardians.iter().map(|host| &roster.hosts[host]);
     entries.map(|entry| entry.domain.to_string()).collect()
 }
@@ -70,7 +70,11 @@
         let chosen = domains(&roster, &format!("search-{number}"), domain);
         let at_home = |name: &String| DOMAINS.iter().any(|d| d.0 == name && d.1 == region);
         assert!(chosen.iter().all(at_home), "{domain}: {chosen:?}");
-        assert_eq!(chosen.len(), guardian::MOST, "one domain has two guardians");
+        assert_eq!(
+            chosen.len(),
+            guardian::MAX_COUNT,
+            "one domain has two guardians"
+        );
     }
 }
 
--- a/crates/lentillift-fleet/tests/lease/main.rs
+++ b/crates/lentillift-fleet/tests/lease/main.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn own_view_alone_breaks_the_limit() {
+fn own_view_alone_exceeds_the_limit() {
     // Two processes consider different hosts alive, as after any loss of a message, and each
     // considers itself the owner. A cold server gets two requests at once and is overloaded.
     let scope = Scope {
--- a/crates/lentillift-fleet/tests/lease/model.rs
+++ b/crates/lentillift-fleet/tests/lease/model.rs
@@ -12,8 +12,8 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::grant;
 use lentillift_fleet::grant::Claim;
+use lentillift_fleet::grant::GrantTable;
 use lentillift_fleet::grant::Holder;
-use lentillift_fleet::grant::Register;
 use lentillift_fleet::grant::Verdict;
 use lentillift_fleet::lease;
 use lentillift_fleet::lease::Lease;
@@ -79,15 +79,15 @@
     lease: Option<Lease>,
     ceded_by: Option<Holder>,
     /// When the last request taken over from another holder ends.
-    inherited: Time,
+    inherited_until: Time,
     /// When the last request of its own ends.
-    busy: Time,
+    busy_until: Time,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     now: Time,
-    registers: Vec<Register>,
+    grant_tables: Vec<GrantTable>,
     candidates: Vec<Candidate>,
     sent: BTreeSet<Sent>,
     /// When requests of earlier incarnations end.
@@ -137,7 +137,7 @@
     let mut queue = VecDeque::from([first]);
     while let Some(state) = queue.pop_front() {
         let from = hash(&state);
-        if state.busy() > 1 {
+        if state.limits_in_flight() > 1 {
             let violation = Some(trace(&seen, from));
             let states = seen.len();
             return Finding { states, violation };
@@ -171,7 +171,7 @@
 /// Initial state: all guardians have run for longer than a term, and nobody holds anything.
 fn start(scope: &Scope) -> State {
     let term = STEP * scope.term;
-    let register = Register::new(Time::ZERO, grant::Options { term });
+    let grants = GrantTable::new(Time::ZERO, grant::Options { term });
     let candidate = Candidate {
         incarnation: 1,
         attempts: 0,
@@ -179,12 +179,12 @@
         quorum: Quorum::new(guardians(scope, 0), 1),
         lease: None,
         ceded_by: None,
-        inherited: Time::ZERO,
-        busy: Time::ZERO,
+        inherited_until: Time::ZERO,
+        busy_until: Time::ZERO,
     };
     State {
         now: term,
-        registers: vec![register; HOSTS.len()],
+        grant_tables: vec![grants; HOSTS.len()],
         candidates: vec![candidate; CANDIDATES],
         sent: BTreeSet::new(),
         orphans: Vec::new(),
@@ -217,8 +217,11 @@
     }
 
     /// Number of full limits in flight at the backend server.
-    fn busy(&self) -> usize {
-        let own = self.candidates.iter().map(|candidate| &candidate.busy);
+    fn limits_in_flight(&self) -> usize {
+        let own = self
+            .candidates
+            .iter()
+            .map(|candidate| &candidate.busy_until);
         let all = own.chain(&self.orphans);
         all.filter(|until| **until > self.now).count()
     }
@@ -230,15 +233,15 @@
             return;
         };
         let until = lease.until(&candidate.quorum);
-        if until > self.now && candidate.inherited <= self.now {
-            candidate.busy = candidate.busy.max(until);
+        if until > self.now && candidate.inherited_until <= self.now {
+            candidate.busy_until = candidate.busy_until.max(until);
         }
     }
 
     /// Two views of who is alive differ, and each ranks its own process first.
     fn sees_itself_first(&self, scope: &Scope, who: usize) -> Option<(String, Self)> {
         let mut next = self.clone();
-        next.candidates[who].busy = self.now + STEP * scope.term;
+        next.candidates[who].busy_until = self.now + STEP * scope.term;
         Some((format!("{} sends", HOSTS[who]), next))
     }
 
@@ -258,12 +261,14 @@
         });
         for candidate in &mut next.candidates {
             let listed = |host: &id::Host| guardians(scope, candidate.list).contains(host);
-            candidate.quorum.settle(now, STEP * scope.settle, listed);
-            if candidate.busy <= now {
-                candidate.busy = Time::ZERO;
+            candidate
+                .quorum
+                .drop_departed(now, STEP * scope.settle, listed);
+            if candidate.busy_until <= now {
+                candidate.busy_until = Time::ZERO;
             }
-            if candidate.inherited <= now {
-                candidate.inherited = Time::ZERO;
+            if candidate.inherited_until <= now {
+                candidate.inherited_until = Time::ZERO;
             }
             // A lease that has expired is given up, as the daemon does.
             let over = |lease: &Lease| !lease.is_new() && lease.until(&candidate.quorum) <= now;
@@ -313,7 +318,7 @@
                 candidate.attempts += 1;
                 candidate.lease = Some(Lease::new(candidate.attempts));
                 candidate.ceded_by = Some(holder.clone());
-                candidate.inherited = now + *left;
+                candidate.inherited_until = now + *left;
                 vec![(format!("{} gets the hand-over", HOSTS[to]), next)]
             }
         }
@@ -333,33 +338,33 @@
             incarnation: 1,
             attempt: claim.attempt,
         };
-        let verdict = lost.registers[to].claim(lost.now, &from, claim);
+        let verdict = lost.grant_tables[to].claim(lost.now, &from, claim);
         if to < CANDIDATES {
             lost.candidates[to].quorum.seal(claim.sealed);
         }
         if verdict != Verdict::Granted {
             return vec![(format!("{} refuses {}", HOSTS[to], HOSTS[who]), lost)];
         }
-        let mut heard = lost.clone();
-        let candidate = &mut heard.candidates[who];
+        let mut granted = lost.clone();
+        let candidate = &mut granted.candidates[who];
         if candidate.attempts == claim.attempt
             && candidate.incarnation == 1
             && let Some(lease) = &mut candidate.lease
         {
-            lease.granted(&name(to), at, &options(scope));
-            let valid = heard.now < lease.until(&candidate.quorum);
+            lease.record_grant(&name(to), at, &options(scope));
+            let valid = granted.now < lease.until(&candidate.quorum);
             if valid && lease.seals(&candidate.quorum, &options(scope)) {
                 candidate.quorum.seal(candidate.list as u64 + 1);
             }
         }
-        heard.send(who);
+        granted.send(who);
         let grants = format!(
             "{} grants {} (sent {})",
             HOSTS[to],
             HOSTS[who],
             at.as_secs()
         );
-        vec![(grants, heard)]
+        vec![(grants, granted)]
     }
 
     fn hand_over(&self, who: usize, drained: bool) -> Option<(String, Self)> {
@@ -378,9 +383,9 @@
             attempt: lease.attempt,
         };
         if drained {
-            candidate.busy = Time::ZERO;
+            candidate.busy_until = Time::ZERO;
         }
-        let over = candidate.busy.max(candidate.inherited);
+        let over = candidate.busy_until.max(candidate.inherited_until);
         let left = over.saturating_sub(now);
         next.sent.insert(Sent::HandOver(who, holder, left));
         Some((format!("{} hands over {left:?}", HOSTS[who]), next))
@@ -391,19 +396,19 @@
         let mut next = self.clone();
         next.restarts = next.restarts.checked_sub(1)?;
         let term = STEP * scope.term;
-        next.registers[host] = Register::new(next.now, grant::Options { term });
+        next.grant_tables[host] = GrantTable::new(next.now, grant::Options { term });
         if host < CANDIDATES {
             let list = next.candidates[host].list;
             let candidate = &mut next.candidates[host];
             // Attempts of the new incarnation must differ from those of the one before.
             candidate.lease = None;
             candidate.ceded_by = None;
-            candidate.inherited = Time::ZERO;
+            candidate.inherited_until = Time::ZERO;
             candidate.attempts += 100;
             candidate.quorum = Quorum::new(guardians(scope, list), list as u64 + 1);
-            let busy = std::mem::take(&mut candidate.busy);
+            let busy_until = std::mem::take(&mut candidate.busy_until);
             next.orphans
-                .extend(Some(busy).filter(|until| *until > self.now));
+                .extend(Some(busy_until).filter(|until| *until > self.now));
         }
         Some((format!("{} restarts", HOSTS[host]), next))
     }
--- a/crates/lentillift-fleet/tests/sync.rs
+++ b/crates/lentillift-fleet/tests/sync.rs
@@ -2,10 +2,10 @@
 
 use lentillift_core::id;
 use lentillift_fleet::sync;
-use lentillift_fleet::sync::Arrival;
-use lentillift_fleet::sync::CHUNK;
+use lentillift_fleet::sync::CHUNK_BYTES;
+use lentillift_fleet::sync::Envelope;
 use lentillift_fleet::sync::Fetch;
-use lentillift_fleet::sync::Letter;
+use lentillift_fleet::sync::FetchedValue;
 use lentillift_fleet::sync::Message;
 use lentillift_fleet::value::Key;
 use lentillift_fleet::value::Stamp;
@@ -28,49 +28,44 @@
     let mut body = format!(r#"{{"revision": {revision}, "servers": {{}}, "maps": []}}"#);
     body.push_str(&" ".repeat(bytes - body.len()));
     assert!(store.offer(&key(), 1, body.as_bytes()).is_ok());
-    let mark = store.mark(&key());
-    (store, mark)
+    let stamp = store.stamp(&key());
+    (store, stamp)
 }
 
 /// Answers the request in `envelope` from `store`.
-fn serve(store: &Store, letter: &Letter) -> Message {
-    let Message::Pull {
-        key,
-        stamp: mark,
-        offset,
-    } = &letter.1
-    else {
-        panic!("found {letter:?}");
+fn serve(store: &Store, envelope: &Envelope) -> Message {
+    let Message::Pull { key, stamp, offset } = &envelope.1 else {
+        panic!("found {envelope:?}");
     };
-    match sync::serve(store, key, *mark, *offset) {
+    match sync::serve(store, key, *stamp, *offset) {
         Some(chunk) => chunk,
         None => panic!("nothing is served"),
     }
 }
 
 /// Fetches until the value is complete; returns it with the number of chunks.
-fn finish(fetch: &mut Fetch, store: &Store, mut letter: Letter) -> (Arrival, usize) {
+fn finish(fetch: &mut Fetch, store: &Store, mut envelope: Envelope) -> (FetchedValue, usize) {
     let mut chunks = 0;
     loop {
         chunks += 1;
-        let chunk = serve(store, &letter);
-        match fetch.chunk(Duration::ZERO, &letter.0.clone(), chunk) {
-            (Some(arrival), _) => return (arrival, chunks),
-            (None, Some(next)) => letter = next,
-            (None, None) => panic!("the value is not asked for any more"),
+        let chunk = serve(store, &envelope);
+        match fetch.chunk(Duration::ZERO, &envelope.0.clone(), chunk) {
+            (Some(fetched), _) => return (fetched, chunks),
+            (None, Some(next)) => envelope = next,
+            (None, None) => panic!("the value is not requested any more"),
         }
     }
 }
 
 #[test]
 fn large_value_comes_in_chunks() {
-    let (store, mark) = store(3, 1_000_000);
+    let (store, stamp) = store(3, 1_000_000);
     let mut fetch = Fetch::default();
-    fetch.want(&key(), mark, &host("a"));
-    let letters = fetch.tick(Duration::ZERO);
-    let (arrival, chunks) = finish(&mut fetch, &store, letters[0].clone());
-    assert_eq!(arrival.body.len(), 1_000_000);
-    assert_eq!(chunks, 1_000_000_usize.div_ceil(CHUNK));
+    fetch.want(&key(), stamp, &host("a"));
+    let envelopes = fetch.tick(Duration::ZERO);
+    let (fetched, chunks) = finish(&mut fetch, &store, envelopes[0].clone());
+    assert_eq!(fetched.body.len(), 1_000_000);
+    assert_eq!(chunks, 1_000_000_usize.div_ceil(CHUNK_BYTES));
     assert!(fetch.is_idle());
 }
 
@@ -78,14 +73,14 @@
 /// although other peers have it too.
 #[test]
 fn another_holder_is_asked_after_silence() {
-    let (_, mark) = store(3, 100);
+    let (_, stamp) = store(3, 100);
     let mut fetch = Fetch::default();
-    fetch.want(&key(), mark, &host("a"));
+    fetch.want(&key(), stamp, &host("a"));
     assert_eq!(fetch.tick(Duration::ZERO)[0].0, host("a"));
-    fetch.want(&key(), mark, &host("b"));
+    fetch.want(&key(), stamp, &host("b"));
     assert!(
         fetch.tick(Duration::ZERO).is_empty(),
-        "one is asked at a time"
+        "one holder is asked at a time"
     );
     assert_eq!(fetch.tick(LATER)[0].0, host("b"));
 }
@@ -93,34 +88,34 @@
 /// A new revision replaces the value while it is being sent. The end of the new one would be
 /// appended to the beginning of the old one.
 #[test]
-fn value_that_changes_midway_starts_anew() {
-    let (old, mark) = store(3, 3 * CHUNK);
-    let (new, newer) = store(4, 2 * CHUNK);
+fn value_replaced_midway_is_fetched_from_its_start() {
+    let (old, stamp) = store(3, 3 * CHUNK_BYTES);
+    let (new, newer) = store(4, 2 * CHUNK_BYTES);
     let mut fetch = Fetch::default();
-    fetch.want(&key(), mark, &host("a"));
-    let letter = fetch.tick(Duration::ZERO)[0].clone();
-    let (_, next) = fetch.chunk(Duration::ZERO, &host("a"), serve(&old, &letter));
+    fetch.want(&key(), stamp, &host("a"));
+    let envelope = fetch.tick(Duration::ZERO)[0].clone();
+    let (_, next) = fetch.chunk(Duration::ZERO, &host("a"), serve(&old, &envelope));
     let Some(next) = next else {
-        panic!("no more is asked for");
+        panic!("no further chunk is requested");
     };
-    let (arrival, _) = finish(&mut fetch, &new, next);
-    assert_eq!(arrival.mark, newer);
-    assert_eq!(arrival.body.len(), 2 * CHUNK);
+    let (fetched, _) = finish(&mut fetch, &new, next);
+    assert_eq!(fetched.stamp, newer);
+    assert_eq!(fetched.body.len(), 2 * CHUNK_BYTES);
 }
 
 /// A chunk arrives twice, as after a repeated request to a slow peer. The value would become too
 /// long.
 #[test]
-fn doubled_chunk_counts_once() {
-    let (store, mark) = store(3, 2 * CHUNK);
+fn duplicate_chunk_is_ignored() {
+    let (store, stamp) = store(3, 2 * CHUNK_BYTES);
     let mut fetch = Fetch::default();
-    fetch.want(&key(), mark, &host("a"));
-    let letter = fetch.tick(Duration::ZERO)[0].clone();
-    let chunk = serve(&store, &letter);
+    fetch.want(&key(), stamp, &host("a"));
+    let envelope = fetch.tick(Duration::ZERO)[0].clone();
+    let chunk = serve(&store, &envelope);
     let (_, next) = fetch.chunk(Duration::ZERO, &host("a"), chunk.clone());
     assert!(next.is_some());
     assert_eq!(fetch.chunk(Duration::ZERO, &host("a"), chunk), (None, None));
-    let letter = next.unwrap_or(letter);
-    let (arrival, _) = finish(&mut fetch, &store, letter);
-    assert_eq!(arrival.body.len(), 2 * CHUNK);
+    let envelope = next.unwrap_or(envelope);
+    let (fetched, _) = finish(&mut fetch, &store, envelope);
+    assert_eq!(fetched.body.len(), 2 * CHUNK_BYTES);
 }
