--- a/crates/lentillift-fleet/examples/ownership.rs
+++ b/crates/lentillift-fleet/examples/ownership.rs
@@ -29,12 +29,12 @@
         let mut after = before.clone();
         after.hosts.remove("host-0");
         let names: Vec<String> = (0..servers).map(|n| format!("notice-search-{n}")).collect();
-        let since = Instant::now();
+        let started = Instant::now();
         let old: Vec<_> = names
             .iter()
             .map(|n| guardian::choose(n, "d0", &before))
             .collect();
-        let spent = since.elapsed();
+        let elapsed = started.elapsed();
         let new: Vec<_> = names
             .iter()
             .map(|n| guardian::choose(n, "d0", &after))
@@ -43,23 +43,23 @@
         let owners = pairs().filter(|(a, b)| a.first() != b.first()).count();
         let sets = pairs().filter(|(a, b)| a != b).count();
         // A holder sends renewals to all its guardians but itself, once a second.
-        let mut asked: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
+        let mut renewed: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
         let mut claims = 0;
         for guardians in &old {
             claims += guardians.len() - 1;
             let mut rest = guardians.iter();
             if let Some(holder) = rest.next() {
-                asked.entry(holder).or_default().extend(rest);
+                renewed.entry(holder).or_default().extend(rest);
             }
         }
-        let peers: usize = asked.values().map(BTreeSet::len).sum();
+        let peers: usize = renewed.values().map(BTreeSet::len).sum();
         println!(
             "{hosts} {servers} {:.4} {:.4} {:.1} {:.1} {:.1}",
             owners as f64 / servers as f64,
             sets as f64 / servers as f64,
             peers as f64 / hosts as f64,
             claims as f64 / hosts as f64,
-            spent.as_secs_f64() * 1e3,
+            elapsed.as_secs_f64() * 1e3,
         );
     }
 }
--- a/crates/lentillift-fleet/tests/common/mod.rs
+++ b/crates/lentillift-fleet/tests/common/mod.rs
@@ -39,7 +39,7 @@
 const WALL: Duration = Duration::from_secs(1_700_000_000);
 
 /// Scheduled event.
-enum Due {
+enum Scheduled {
     Tick(id::Host, id::Incarnation),
     Packet(SocketAddr, Vec<u8>),
     Message(id::Host, id::Host, sync::Message),
@@ -75,16 +75,16 @@
 /// Processes, links between them, and a configuration service, in virtual time.
 pub struct Net {
     pub now: Time,
-    queue: BTreeMap<(Time, u64), Due>,
+    queue: BTreeMap<(Time, u64), Scheduled>,
     next: u64,
     pub nodes: BTreeMap<id::Host, Node>,
-    pub homes: BTreeMap<SocketAddr, id::Host>,
+    pub hosts_by_address: BTreeMap<SocketAddr, id::Host>,
     pub platform: Platform,
     /// Old copies that the service returns to some hosts.
     pub stale: BTreeMap<id::Host, Platform>,
     /// Hosts that the service does not answer.
     pub unserved: BTreeSet<id::Host>,
-    waiting: BTreeMap<u64, (id::Host, id::Incarnation, u64)>,
+    pending_watches: BTreeMap<u64, (id::Host, id::Incarnation, u64)>,
     /// Directed pairs of hosts between which no message passes.
     pub cut: BTreeSet<(id::Host, id::Host)>,
     /// Time that a message over a link takes.
@@ -104,11 +104,11 @@
             queue: BTreeMap::new(),
             next: 0,
             nodes: BTreeMap::new(),
-            homes: BTreeMap::new(),
+            hosts_by_address: BTreeMap::new(),
             platform: Platform::default(),
             stale: BTreeMap::new(),
             unserved: BTreeSet::new(),
-            waiting: BTreeMap::new(),
+            pending_watches: BTreeMap::new(),
             cut: BTreeSet::new(),
             link_delay: DELAY,
             loss: 0.0,
@@ -171,18 +171,18 @@
             largest: 0,
             messages: 0,
         };
-        self.homes.retain(|_, home| *home != host);
-        self.homes.insert(address, host.clone());
+        self.hosts_by_address.retain(|_, home| *home != host);
+        self.hosts_by_address.insert(address, host.clone());
         self.nodes.insert(host.clone(), node);
         let offset = self.rng.random_range(Duration::ZERO..TICK);
-        self.push(self.now + offset, Due::Tick(host, incarnation));
+        self.push(self.now + offset, Scheduled::Tick(host, incarnation));
     }
 
     /// Ends a process at once, without any announcement.
     pub fn kill(&mut self, number: usize) {
         let host = host(number);
         self.nodes.remove(&host);
-        self.homes.retain(|_, home| *home != host);
+        self.hosts_by_address.retain(|_, home| *home != host);
     }
 
     /// Stops a process for some time, as SIGSTOP or a starved host would.
@@ -210,8 +210,8 @@
         self.platform.version += 1;
         let version = self.platform.version;
         self.platform.values.insert(key.into(), (version, body));
-        let waiting = std::mem::take(&mut self.waiting);
-        for (_, (host, incarnation, _)) in waiting {
+        let pending_watches = std::mem::take(&mut self.pending_watches);
+        for (_, (host, incarnation, _)) in pending_watches {
             self.answer(host, incarnation);
         }
     }
@@ -247,7 +247,7 @@
         body.to_string().into_bytes()
     }
 
-    fn push(&mut self, at: Time, due: Due) {
+    fn push(&mut self, at: Time, due: Scheduled) {
         self.next += 1;
         self.queue.insert((at, self.next), due);
     }
@@ -265,15 +265,15 @@
         F: Fn(&Self) -> bool,
     {
         let since = self.now;
-        let came = self.run_until(since + time, done);
-        came.then(|| self.now - since)
+        let happened = self.run_until(since + time, done);
+        happened.then(|| self.now - since)
     }
 
     fn run_until<F>(&mut self, until: Time, done: F) -> bool
     where
         F: Fn(&Self) -> bool,
     {
-        let mut checked = self.now;
+        let mut next_check = self.now;
         while let Some(((at, _), _)) = self.queue.first_key_value()
             && *at <= until
         {
@@ -283,8 +283,8 @@
             self.now = at;
             self.deliver(due);
             // The condition is checked every 10 ms.
-            if at >= checked {
-                checked = at + Duration::from_millis(10);
+            if at >= next_check {
+                next_check = at + Duration::from_millis(10);
                 if done(self) {
                     return true;
                 }
@@ -293,19 +293,19 @@
         done(self)
     }
 
-    fn deliver(&mut self, due: Due) {
+    fn deliver(&mut self, due: Scheduled) {
         let (host, incarnation) = match &due {
-            Due::Tick(host, incarnation) => (host.clone(), Some(*incarnation)),
-            Due::Packet(address, _) => match self.homes.get(address) {
+            Scheduled::Tick(host, incarnation) => (host.clone(), Some(*incarnation)),
+            Scheduled::Packet(address, _) => match self.hosts_by_address.get(address) {
                 Some(host) => (host.clone(), None),
                 None => return,
             },
-            Due::Message(_, to, _) => (to.clone(), None),
-            Due::Index(host, incarnation, _) | Due::Value(host, incarnation, ..) => {
+            Scheduled::Message(_, to, _) => (to.clone(), None),
+            Scheduled::Index(host, incarnation, _) | Scheduled::Value(host, incarnation, ..) => {
                 (host.clone(), Some(*incarnation))
             }
-            Due::Expired(number) => {
-                if let Some((host, incarnation, _)) = self.waiting.remove(number) {
+            Scheduled::Expired(number) => {
+                if let Some((host, incarnation, _)) = self.pending_watches.remove(number) {
                     self.answer(host, incarnation);
                 }
                 return;
@@ -323,19 +323,19 @@
             return;
         }
         let event = match due {
-            Due::Tick(..) => {
-                let due = Due::Tick(host.clone(), node.incarnation);
+            Scheduled::Tick(..) => {
+                let due = Scheduled::Tick(host.clone(), node.incarnation);
                 self.push(self.now + TICK, due);
                 Event::Tick
             }
-            Due::Packet(_, bytes) => match datagram::decode(&bytes) {
+            Scheduled::Packet(_, bytes) => match datagram::decode(&bytes) {
                 Ok(packet) => Event::Packet(packet),
                 Err(error) => panic!("malformed datagram: {error}"),
             },
-            Due::Message(from, _, message) => Event::Message(from, message),
-            Due::Index(_, _, index) => Event::Index(index),
-            Due::Value(_, _, key, body) => Event::Value(key, body),
-            Due::Expired(_) => return,
+            Scheduled::Message(from, _, message) => Event::Message(from, message),
+            Scheduled::Index(_, _, index) => Event::Index(index),
+            Scheduled::Value(_, _, key, body) => Event::Value(key, body),
+            Scheduled::Expired(_) => return,
         };
         self.handle(&host, event);
     }
@@ -365,11 +365,11 @@
                     && !self.cut.contains(&(to.clone(), host.clone()))
                 {
                     let at = self.now + self.link_delay;
-                    self.push(at, Due::Message(host.clone(), to, message));
+                    self.push(at, Scheduled::Message(host.clone(), to, message));
                 }
             }
             Effect::Call(call) => self.call(host, call),
-            Effect::Ready(ready) => self.note_ready(host, ready),
+            Effect::Ready(ready) => self.set_ready(host, ready),
             Effect::Note {
                 kind,
                 subject,
@@ -385,7 +385,7 @@
         }
     }
 
-    fn note_ready(&mut self, host: &id::Host, ready: bool) {
+    fn set_ready(&mut self, host: &id::Host, ready: bool) {
         if let Some(node) = self.nodes.get_mut(host) {
             node.ready = ready;
         }
@@ -406,12 +406,12 @@
         };
         self.count(from, bytes.len());
         let cut = self
-            .homes
+            .hosts_by_address
             .get(&to)
             .is_some_and(|to| self.cut.contains(&(from.clone(), to.clone())));
         if !cut && !self.rng.random_bool(self.loss) {
             let delay = DELAY + self.rng.random_range(Duration::ZERO..DELAY);
-            self.push(self.now + delay, Due::Packet(to, bytes));
+            self.push(self.now + delay, Scheduled::Packet(to, bytes));
         }
     }
 
@@ -431,20 +431,20 @@
                 }
                 self.next += 1;
                 let number = self.next;
-                self.waiting
+                self.pending_watches
                     .insert(number, (host.clone(), incarnation, since));
-                self.push(self.now + wait, Due::Expired(number));
+                self.push(self.now + wait, Scheduled::Expired(number));
             }
             Call::Index { .. } => {
                 let at = self.now + DELAY;
-                self.push(at, Due::Index(host.clone(), incarnation, None));
+                self.push(at, Scheduled::Index(host.clone(), incarnation, None));
             }
             Call::Value(key) => {
                 let platform = self.stale.get(host).unwrap_or(&self.platform);
                 let body = platform.values.get(&key).map(|(_, body)| body.clone());
                 let body = body.filter(|_| !unserved);
                 let at = self.now + DELAY;
-                self.push(at, Due::Value(host.clone(), incarnation, key, body));
+                self.push(at, Scheduled::Value(host.clone(), incarnation, key, body));
             }
         }
     }
@@ -458,7 +458,7 @@
         };
         let index = Some(index).filter(|_| !self.unserved.contains(&host));
         let at = self.now + DELAY;
-        self.push(at, Due::Index(host, incarnation, index));
+        self.push(at, Scheduled::Index(host, incarnation, index));
     }
 
     pub fn view(&self, number: usize) -> Arc<View> {
--- a/crates/lentillift-fleet/tests/faults.rs
+++ b/crates/lentillift-fleet/tests/faults.rs
@@ -210,7 +210,7 @@
 /// Two regions lose contact for three minutes. Each must continue with its own hosts, and both must
 /// become one fleet again when the link is back.
 #[test]
-fn regions_part_for_minutes() {
+fn partitioned_regions_continue_and_reunite() {
     let mut net = Net::regions(5, 16, 2);
     assert!(net.wait(HEAL, Net::settled).is_some());
     let here = |number: &usize| number % 8 < 4;
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -17,7 +17,7 @@
 };
 
 /// Messages in transit, each with the time at which it arrives.
-type Flight<T> = VecDeque<(Time, T)>;
+type InTransit<T> = VecDeque<(Time, T)>;
 
 /// Message of an origin to its follower.
 #[derive(Debug, Clone, Copy)]
@@ -32,16 +32,16 @@
 /// A host and the connection to its origin.
 #[derive(Debug)]
 struct Host {
-    questions: Polls,
-    next_question: Time,
+    polls: Polls,
+    next_poll: Time,
     /// Time up to which the host considers its data complete.
     proved: Time,
     /// Time up to which its data is really complete.
     complete: Time,
     /// Last poll of this host that has arrived at its origin.
-    asked: PollNumber,
-    there: Flight<PollNumber>,
-    back: Flight<Frame>,
+    received_poll: PollNumber,
+    polls_in_transit: InTransit<PollNumber>,
+    frames_in_transit: InTransit<Frame>,
 }
 
 /// Hosts that follow each other; the first one reads the service.
@@ -50,7 +50,7 @@
     now: Time,
     hosts: Vec<Host>,
     /// When the first host requested its current watch.
-    watched: Time,
+    watch_requested: Time,
     /// Delays of messages, used in turn.
     delays: Vec<Duration>,
     sent: usize,
@@ -59,18 +59,18 @@
 impl Chain {
     fn new(length: usize, delays: Vec<Duration>) -> Self {
         let host = |_| Host {
-            questions: Polls::start(Time::ZERO),
-            next_question: Time::ZERO + OPTIONS.heartbeat(),
+            polls: Polls::start(Time::ZERO),
+            next_poll: Time::ZERO + OPTIONS.heartbeat(),
             proved: Time::ZERO,
             complete: Time::ZERO,
-            asked: 0,
-            there: Flight::new(),
-            back: Flight::new(),
+            received_poll: 0,
+            polls_in_transit: InTransit::new(),
+            frames_in_transit: InTransit::new(),
         };
         Self {
             now: Time::ZERO,
             hosts: (0..length).map(host).collect(),
-            watched: Time::ZERO,
+            watch_requested: Time::ZERO,
             delays,
             sent: 0,
         }
@@ -78,10 +78,10 @@
 
     /// When a message arrives that is sent now on a connection: messages do not overtake each
     /// other.
-    fn arrival<T>(&mut self, host: usize, way: fn(&Host) -> &Flight<T>) -> Time {
+    fn arrival<T>(&mut self, host: usize, connection: fn(&Host) -> &InTransit<T>) -> Time {
         let delay = self.delays[self.sent % self.delays.len()];
         self.sent += 1;
-        let before = way(&self.hosts[host]).back().map(|(due, _)| *due);
+        let before = connection(&self.hosts[host]).back().map(|(due, _)| *due);
         (self.now + delay).max(before.unwrap_or_default())
     }
 
@@ -89,23 +89,29 @@
         self.now += MS;
         self.read();
         for host in 1..self.hosts.len() {
-            self.ask(host);
+            self.send_poll(host);
             while self.hosts[host]
-                .there
+                .polls_in_transit
                 .front()
                 .is_some_and(|(due, _)| *due <= self.now)
             {
-                let (_, number) = self.hosts[host].there.pop_front().expect("a question");
-                self.hosts[host].asked = number;
-                self.tell(host);
+                let (_, number) = self.hosts[host]
+                    .polls_in_transit
+                    .pop_front()
+                    .expect("a poll");
+                self.hosts[host].received_poll = number;
+                self.send_frame(host);
             }
             while self.hosts[host]
-                .back
+                .frames_in_transit
                 .front()
                 .is_some_and(|(due, _)| *due <= self.now)
             {
-                let (_, frame) = self.hosts[host].back.pop_front().expect("a frame");
-                self.hear(host, frame);
+                let (_, frame) = self.hosts[host]
+                    .frames_in_transit
+                    .pop_front()
+                    .expect("a frame");
+                self.receive_frame(host, frame);
             }
         }
     }
@@ -114,65 +120,65 @@
     /// arrived.
     fn read(&mut self) {
         let wait = OPTIONS.watch();
-        let late = self.delays[0];
-        let passed = self.now - self.watched;
-        if passed < wait + late {
+        let delay = self.delays[0];
+        let passed = self.now - self.watch_requested;
+        if passed < wait + delay {
             return;
         }
         let age = proof::age_after_watch(passed, wait);
-        let complete = self.now - late;
-        self.watched = self.now;
-        self.learn(0, self.now - age, complete);
+        let complete = self.now - delay;
+        self.watch_requested = self.now;
+        self.update(0, self.now - age, complete);
     }
 
-    fn ask(&mut self, host: usize) {
-        if self.now < self.hosts[host].next_question {
+    fn send_poll(&mut self, host: usize) {
+        if self.now < self.hosts[host].next_poll {
             return;
         }
-        self.hosts[host].next_question = self.now + OPTIONS.heartbeat();
-        let number = self.hosts[host].questions.send(self.now);
-        let due = self.arrival(host, |host| &host.there);
-        self.hosts[host].there.push_back((due, number));
+        self.hosts[host].next_poll = self.now + OPTIONS.heartbeat();
+        let number = self.hosts[host].polls.send(self.now);
+        let due = self.arrival(host, |host| &host.polls_in_transit);
+        self.hosts[host].polls_in_transit.push_back((due, number));
     }
 
     /// Lets the origin of `host` send it a frame.
-    fn tell(&mut self, host: usize) {
-        let due = self.arrival(host, |host| &host.back);
+    fn send_frame(&mut self, host: usize) {
+        let due = self.arrival(host, |host| &host.frames_in_transit);
         let origin = &self.hosts[host - 1];
         let frame = Frame {
-            answers: self.hosts[host].asked,
+            answers: self.hosts[host].received_poll,
             age: self.now - origin.proved,
             complete: origin.complete,
         };
-        self.hosts[host].back.push_back((due, frame));
+        self.hosts[host].frames_in_transit.push_back((due, frame));
     }
 
-    fn hear(&mut self, host: usize, frame: Frame) {
+    fn receive_frame(&mut self, host: usize, frame: Frame) {
         let now = self.now;
         let state = &mut self.hosts[host];
-        let heard = state
-            .questions
+        let reaction = state
+            .polls
             .receive(frame.answers)
-            .expect("an open question");
-        if heard == Reaction::Ask {
-            state.next_question = now;
+            .expect("an outstanding poll");
+        if reaction == Reaction::Ask {
+            state.next_poll = now;
         }
-        let age = state.questions.age(now, frame.age);
-        self.learn(host, now.saturating_sub(age), frame.complete);
+        let age = state.polls.age(now, frame.age);
+        self.update(host, now.saturating_sub(age), frame.complete);
     }
 
-    fn learn(&mut self, host: usize, proved: Time, complete: Time) {
+    fn update(&mut self, host: usize, proved: Time, complete: Time) {
         let state = &mut self.hosts[host];
         let before = state.proved;
         state.proved = before.max(proved);
         state.complete = state.complete.max(complete);
         if OPTIONS.is_newer_proof(Some(before), Some(state.proved)) && host + 1 < self.hosts.len() {
-            self.tell(host + 1);
+            self.send_frame(host + 1);
         }
     }
 
     /// Largest age that any host computes for its data.
-    fn oldest(&self) -> Duration {
+    fn largest_age(&self) -> Duration {
         let proved = self.hosts.iter().map(|host| host.proved);
         self.now - proved.min().expect("a host")
     }
@@ -189,8 +195,8 @@
             for _ in 0..20_000 {
                 chain.step();
                 if chain.now > OPTIONS.bound * 2 {
-                    let oldest = chain.oldest();
-                    assert!(oldest < OPTIONS.max_age(), "{oldest:?}");
+                    let largest_age = chain.largest_age();
+                    assert!(largest_age < OPTIONS.max_age(), "{largest_age:?}");
                 }
             }
         }
@@ -198,33 +204,33 @@
 }
 
 no_origin_is_left! {
-    by_hosts_next_to_each_other: 3, [1];
-    by_the_last_of_the_largest_fleet: 8, [1, 2, 1, 3];
-    over_ways_that_are_late_by_turns: 8, [1, 40, 5, 20, 2];
+    adjacent_hosts_keep_their_origin: 3, [1];
+    last_host_of_the_largest_fleet_keeps_its_origin: 8, [1, 2, 1, 3];
+    hosts_keep_their_origins_with_alternating_delays: 8, [1, 40, 5, 20, 2];
 }
 
 #[test]
-fn an_answer_to_what_was_never_asked_is_refused() {
-    let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
-    let mut questions = Polls::start(Time::ZERO);
-    assert_eq!((questions.send(MS), questions.send(MS * 2)), (1, 2));
-    assert_eq!(questions.receive(2), Ok(Reaction::Answer));
-    assert_eq!(questions.age(MS * 5, MS), MS * 4);
-    assert_eq!(questions.receive(1), Err(UnexpectedAnswer(1)));
+fn answer_to_an_unknown_poll_is_rejected() {
+    let mut polls = Polls::start(Time::ZERO);
+    assert_eq!(polls.receive(1), Err(UnexpectedAnswer(1)));
+    let mut polls = Polls::start(Time::ZERO);
+    assert_eq!((polls.send(MS), polls.send(MS * 2)), (1, 2));
+    assert_eq!(polls.receive(2), Ok(Reaction::Answer));
+    assert_eq!(polls.age(MS * 5, MS), MS * 4);
+    assert_eq!(polls.receive(1), Err(UnexpectedAnswer(1)));
 }
 
 #[test]
-fn a_message_that_came_by_itself_is_asked_about_once() {
-    let mut questions = Polls::start(Time::ZERO);
-    assert_eq!(questions.receive(0), Ok(Reaction::Ask));
-    questions.send(MS);
-    assert_eq!(questions.receive(0), Ok(Reaction::Answer));
-    assert_eq!(questions.receive(1), Ok(Reaction::Answer));
+fn unprompted_message_leads_to_one_poll() {
+    let mut polls = Polls::start(Time::ZERO);
+    assert_eq!(polls.receive(0), Ok(Reaction::Ask));
+    polls.send(MS);
+    assert_eq!(polls.receive(0), Ok(Reaction::Answer));
+    assert_eq!(polls.receive(1), Ok(Reaction::Answer));
 }
 
 #[test]
-fn a_watch_that_returned_too_soon_proves_no_more_than_its_question() {
+fn early_watch_return_counts_from_its_request() {
     let wait = MS * 1000;
     assert_eq!(proof::age_after_watch(MS * 1004, wait), MS * 4);
     assert_eq!(proof::age_after_watch(MS * 700, wait), MS * 700);
@@ -236,7 +242,7 @@
     /// Messages are delayed by any time, at any hop. No host may consider its data fresher than it
     /// is.
     #[test]
-    fn knowledge_is_at_least_as_old_as_it_is_held_for(
+    fn age_of_data_is_never_underestimated(
         length in 2usize..7,
         delays in prop::collection::vec(1u64..4000, 1..30),
     ) {
--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-const NOON: Time = Duration::from_secs(1000);
+const START: Time = Duration::from_secs(1000);
 
 /// Fingerprint of a request for `path`.
 fn fingerprint(path: &str) -> Fingerprint {
@@ -39,7 +39,7 @@
     fingerprint("/fatal")
 }
 
-fn learn(table: &mut Table, events: &[Event], now: Time) {
+fn apply(table: &mut Table, events: &[Event], now: Time) {
     let options = Options::default();
     for event in events {
         let end = |process, canary| End { process, canary };
@@ -54,7 +54,7 @@
 /// A table after `events`, all at [`START`].
 fn table(events: &[Event]) -> Table {
     let mut table = Table::default();
-    learn(&mut table, events, NOON);
+    apply(&mut table, events, START);
     table
 }
 
@@ -68,7 +68,7 @@
         $(#[$doc])*
         #[test]
         fn $name() {
-            let admission = table(&$events).admit(&Options::default(), fatal(), NOON + MS);
+            let admission = table(&$events).admit(&Options::default(), fatal(), START + MS);
             assert!(matches!(admission, $admission), "{admission:?}");
         }
     )*};
@@ -80,7 +80,7 @@
     two_ends_are_not_enough: [Ends(1), CanaryEnds(2)] => Admission::Canary,
     /// Servers that ended together may have ended for another reason, with the request merely in
     /// flight.
-    ends_of_one_moment_are_not_enough: [Ends(1), Ends(2), Ends(3), Ends(4)] => Admission::Canary,
+    simultaneous_ends_are_not_enough: [Ends(1), Ends(2), Ends(3), Ends(4)] => Admission::Canary,
     /// A process that ends once breaks many connections.
     one_server_counts_once: [Ends(1), Ends(1), CanaryEnds(1), CanaryEnds(1)] => Admission::Canary,
     /// The canary may have shared its server with that of a request that does end servers.
@@ -92,10 +92,10 @@
     ends_before_a_reply_do_not_count:
         [Ends(1), CanaryEnds(2), Answered, CanaryEnds(3)] => Admission::Canary,
     /// A popular search is in flight whenever servers end.
-    what_was_answered_lately_needs_more:
+    recently_answered_request_needs_more_canaries:
         [Answered, Ends(1), CanaryEnds(2), CanaryEnds(3), CanaryEnds(4)] => Admission::Canary,
     /// A popular request may end servers since a new version of the data was published.
-    what_was_answered_lately_is_quarantined_too:
+    recently_answered_request_can_be_quarantined:
         [Answered, CanaryEnds(1), CanaryEnds(2), CanaryEnds(3), CanaryEnds(4)] => Admission::Refuse(_),
 }
 
@@ -103,14 +103,14 @@
 fn other_requests_are_served() {
     let mut table = quarantined();
     for path in ["/fatal?", "/Fatal", "/fata", "/fatal/"] {
-        let admission = table.admit(&Options::default(), fingerprint(path), NOON);
+        let admission = table.admit(&Options::default(), fingerprint(path), START);
         assert_eq!(admission, Admission::Serve, "{path}");
     }
 }
 
 /// Without a separation of fields, two requests could have the same fingerprint.
 #[test]
-fn fields_do_not_run_into_each_other() {
+fn fingerprint_separates_fields() {
     let one = Fingerprint::of("GET", "ab", "/c", b"d");
     let others = [
         Fingerprint::of("GET", "a", "b/c", b"d"),
@@ -124,11 +124,11 @@
 /// A quarantine that never ended would refuse a request that servers can run by now. One host sends
 /// one canary; the quarantine is renewed for all others before, and after the last canary it stays.
 #[test]
-fn canaries_find_out_whether_a_quarantine_is_over() {
+fn canaries_test_whether_a_quarantine_can_end() {
     let options = Options::default();
     let mut table = quarantined();
     let mut other = Table::default();
-    let mut now = NOON;
+    let mut now = START;
     for trial in 0..options.trials {
         now += options.hold * 2_u32.pow(trial);
         assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
@@ -137,7 +137,7 @@
             let admission = host.admit(&options, fatal(), now + MS);
             assert!(matches!(admission, Admission::Refuse(_)), "{admission:?}");
         }
-        learn(&mut table, &[CanaryEnds(100)], now + MS);
+        apply(&mut table, &[CanaryEnds(100)], now + MS);
     }
     now += options.hold * 1000;
     for host in [&mut table, &mut other] {
@@ -152,10 +152,10 @@
     let options = Options::default();
     let mut table = quarantined();
     let mut other = Table::default();
-    other.merge(&options, &table.take_updates(NOON), NOON);
-    let now = NOON + options.hold;
+    other.merge(&options, &table.take_updates(START), START);
+    let now = START + options.hold;
     assert_eq!(table.admit(&options, fatal(), now), Admission::Canary);
-    learn(&mut table, &[Answered], now + MS);
+    apply(&mut table, &[Answered], now + MS);
     other.merge(&options, &table.take_updates(now + MS), now + MS);
     for host in [&mut table, &mut other] {
         let admission = host.admit(&options, fatal(), now + MS);
@@ -165,11 +165,11 @@
 
 /// A third host that has not received the operator's lift sends the quarantine once more.
 #[test]
-fn late_news_does_not_bring_a_lifted_quarantine_back() {
+fn late_updates_do_not_restore_a_lifted_quarantine() {
     let options = Options::default();
     let mut table = quarantined();
-    let old = table.shared_records(10, NOON);
-    assert!(table.lift(fatal(), NOON + MS));
+    let old = table.shared_records(10, START);
+    assert!(table.lift(fatal(), START + MS));
     let later: Vec<SharedRecord> = old
         .into_iter()
         .map(|account| SharedRecord {
@@ -177,27 +177,27 @@
             ..account
         })
         .collect();
-    assert_eq!(table.merge(&options, &later, NOON + MS * 50), 0);
-    assert_eq!(table.verdict(fatal(), NOON + MS * 50), Verdict::Clear);
+    assert_eq!(table.merge(&options, &later, START + MS * 50), 0);
+    assert_eq!(table.verdict(fatal(), START + MS * 50), Verdict::Clear);
 }
 
 /// Messages are delayed. If a record that arrives later counted as newer, a suspicion and its end,
 /// each sent to all hosts, would circulate for ever.
 #[test]
-fn a_doubt_and_its_end_die_out() {
+fn suspicion_and_its_end_stop_circulating() {
     let options = Options::default();
     let mut hosts = [Table::default(), Table::default(), Table::default()];
-    learn(&mut hosts[0], &[Ends(1)], NOON);
-    let mut now = NOON;
+    apply(&mut hosts[0], &[Ends(1)], START);
+    let mut now = START;
     let mut messages = 0;
     while let Some(from) = hosts.iter().position(Table::has_updates) {
-        let news = hosts[from].take_updates(now);
+        let updates = hosts[from].take_updates(now);
         now += MS * 5;
         if messages == 2 {
-            learn(&mut hosts[1], &[Answered], now);
+            apply(&mut hosts[1], &[Answered], now);
         }
         for to in (0..hosts.len()).filter(|to| *to != from) {
-            hosts[to].merge(&options, &news, now);
+            hosts[to].merge(&options, &updates, now);
             messages += 1;
         }
         assert!(messages < 100, "{hosts:?}");
@@ -210,9 +210,9 @@
 /// Most suspicions end within milliseconds; sending each to the fleet would be a message per host
 /// and request whenever a server ends.
 #[test]
-fn a_doubt_that_was_not_told_ends_without_a_word() {
+fn suspicion_that_was_not_sent_ends_without_updates() {
     let mut table = table(&[Ends(1), Answered]);
-    assert!(table.take_updates(NOON).is_empty());
+    assert!(table.take_updates(START).is_empty());
 }
 
 /// A caller that sends thousands of different requests which end servers would use up all memory.
@@ -229,24 +229,24 @@
             canary: false,
         };
         let path = format!("/{n}");
-        table.record_end(&options, fingerprint(&path), end, NOON + MS);
+        table.record_end(&options, fingerprint(&path), end, START + MS);
     }
     assert_eq!(
-        table.shared_records(usize::MAX, NOON).len(),
+        table.shared_records(usize::MAX, START).len(),
         options.records
     );
     assert!(matches!(
-        table.verdict(fatal(), NOON),
+        table.verdict(fatal(), START),
         Verdict::Quarantined(_)
     ));
 }
 
 #[test]
-fn a_doubt_is_forgotten_after_a_while() {
+fn suspicion_expires() {
     let options = Options::default();
     let mut table = table(&[Ends(1), Ends(2)]);
-    table.expire(&options, NOON + options.memory);
-    assert!(table.shared_records(10, NOON).is_empty());
+    table.expire(&options, START + options.memory);
+    assert!(table.shared_records(10, START).is_empty());
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -259,7 +259,7 @@
     /// Hosts that have received everything treat the request alike, and as one host that saw all of
     /// it.
     #[test]
-    fn hosts_agree_once_they_have_heard_each_other(
+    fn hosts_agree_after_exchanging_records(
         seen in prop::collection::vec(events(), 3),
         order in prop::collection::vec((0..3_usize, 0..3_usize), 0..8),
     ) {
@@ -268,13 +268,13 @@
         let everyone = (0..3).flat_map(|a| (0..3).map(move |b| (a, b)));
         let twice: Vec<_> = everyone.clone().chain(everyone).collect();
         for (from, to) in order.into_iter().chain(twice) {
-            let accounts = hosts[from].shared_records(usize::MAX, NOON);
-            hosts[to].merge(&options, &accounts, NOON);
+            let accounts = hosts[from].shared_records(usize::MAX, START);
+            hosts[to].merge(&options, &accounts, START);
         }
         let all: Vec<Event> = seen.concat();
-        let one = table(&all).verdict(fatal(), NOON);
+        let one = table(&all).verdict(fatal(), START);
         for host in &hosts {
-            let verdict = host.verdict(fatal(), NOON);
+            let verdict = host.verdict(fatal(), START);
             prop_assert_eq!(std::mem::discriminant(&verdict), std::mem::discriminant(&one));
         }
     }
@@ -285,12 +285,12 @@
         let options = Options::default();
         let mut hosts = [Table::default(), Table::default()];
         for (n, process) in events.into_iter().enumerate() {
-            learn(&mut hosts[n % 2], &[CanaryEnds(process)], NOON);
-            let accounts = hosts[n % 2].shared_records(10, NOON);
-            hosts[(n + 1) % 2].merge(&options, &accounts, NOON);
+            apply(&mut hosts[n % 2], &[CanaryEnds(process)], START);
+            let accounts = hosts[n % 2].shared_records(10, START);
+            hosts[(n + 1) % 2].merge(&options, &accounts, START);
         }
         for host in &hosts {
-            let verdict = host.verdict(fatal(), NOON);
+            let verdict = host.verdict(fatal(), START);
             prop_assert!(!matches!(verdict, Verdict::Quarantined(_)), "{:?}", verdict);
         }
     }
@@ -298,9 +298,9 @@
 
 /// Records that are sent contain no more processes than are needed to decide.
 #[test]
-fn accounts_are_small() {
+fn shared_records_are_small() {
     let ends: Vec<Event> = (0..50).map(Ends).collect();
-    let accounts = table(&ends).shared_records(10, NOON);
+    let accounts = table(&ends).shared_records(10, START);
     let [account] = accounts.as_slice() else {
         panic!("{accounts:?}");
     };
--- a/crates/lentillift-fleet/tests/revisions.rs
+++ b/crates/lentillift-fleet/tests/revisions.rs
@@ -137,7 +137,7 @@
 /// All hosts but one are served an old copy, so all watchers may be. The fleet must not wait for
 /// the watchers for ever.
 #[test]
-fn one_reader_makes_up_for_stale_watchers() {
+fn one_current_reader_overrides_stale_watchers() {
     // Hosts of one failure domain, of which some watch the service and some don't.
     for number in [0, 4, 8] {
         let mut net = fleet(7);
@@ -153,7 +153,7 @@
 /// A fleet of forty is quiet for a minute. If each process watched the service for itself, the
 /// service's call limit would be used up as the fleet grows.
 #[test]
-fn calls_stay_few() {
+fn service_calls_are_bounded() {
     let mut net = Net::fleet(9, 40);
     assert!(net.wait(HEAL, Net::settled).is_some());
     let before = net.calls;
--- a/crates/lentillift-fleet/tests/swim.rs
+++ b/crates/lentillift-fleet/tests/swim.rs
@@ -37,7 +37,7 @@
 struct Net {
     now: Time,
     hosts: BTreeMap<usize, Swim<StdRng>>,
-    flying: BTreeMap<(Time, u64), (usize, Packet)>,
+    in_transit: BTreeMap<(Time, u64), (usize, Packet)>,
     next: u64,
     rng: StdRng,
     /// Share of datagrams that are lost, in hundredths.
@@ -53,7 +53,7 @@
         let mut net = Self {
             now: SECOND,
             hosts: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             next: 0,
             rng: StdRng::seed_from_u64(seed),
             loss: 0,
@@ -104,7 +104,7 @@
             let lost = self.rng.random_range(0..100) < self.loss;
             if !lost && !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from)) {
                 self.next += 1;
-                self.flying
+                self.in_transit
                     .insert((self.now + DELAY, self.next), (to, packet));
             }
         }
@@ -114,7 +114,7 @@
         let end = self.now + time;
         while self.now < end {
             let tick = self.now + TICK;
-            while let Some(entry) = self.flying.first_entry()
+            while let Some(entry) = self.in_transit.first_entry()
                 && entry.key().0 <= tick
             {
                 let ((at, _), (to, packet)) = entry.remove_entry();
@@ -174,7 +174,7 @@
     }
 
     /// A fifth of all datagrams is lost. All hosts are still found, and none is considered dead.
-    losses_are_made_up_for(net: 9) {
+    lost_datagrams_are_tolerated(net: 9) {
         net.loss = 20;
         net.run(SECOND * 8);
         for host in net.hosts.values() {
@@ -197,7 +197,7 @@
 
     /// A host loses power. The others stop probing it in the regular round, but still count it: it
     /// may be cut off from them alone, and use its share of a common budget.
-    a_dead_host_is_counted_but_not_asked(net: 9) {
+    a_dead_host_is_counted_but_not_probed(net: 9) {
         net.run(SECOND * 3);
         net.hosts.remove(&4);
         net.run(SECOND * 12);
@@ -225,7 +225,7 @@
 
     /// Two halves of the fleet are cut off from each other for twenty seconds. They reconnect,
     /// though by then each half considers the other dead.
-    halves_meet_again(net: 9) {
+    partitioned_halves_reconnect(net: 9) {
         net.run(SECOND * 3);
         for a in 0..4 {
             net.cut.extend((4..9).map(|b| (a, b)));
