--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -39,19 +39,19 @@
     }
 }
 
-/// See [`value::Mark`].
+/// See [`value::Stamp`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Mark {
     revision: u64,
     sum: u64,
 }
 
-/// See [`packet::News`].
+/// See [`packet::Update`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum News {
-    /// See [`packet::News::Member`].
+    /// See [`packet::Update::Member`].
     Member(Member),
-    /// See [`packet::News::Value`].
+    /// See [`packet::Update::Value`].
     Value(String, Mark),
 }
 
