--- a/crates/lentillift-fleet/tests/quarantine.rs
+++ b/crates/lentillift-fleet/tests/quarantine.rs
@@ -172,9 +172,9 @@
     assert!(table.lift(fatal(), START + MS));
     let later: Vec<SharedRecord> = old
         .into_iter()
-        .map(|account| SharedRecord {
-            age: account.age + MS * 50,
-            ..account
+        .map(|record| SharedRecord {
+            age: record.age + MS * 50,
+            ..record
         })
         .collect();
     assert_eq!(table.merge(&options, &later, START + MS * 50), 0);
@@ -268,8 +268,8 @@
         let everyone = (0..3).flat_map(|a| (0..3).map(move |b| (a, b)));
         let twice: Vec<_> = everyone.clone().chain(everyone).collect();
         for (from, to) in order.into_iter().chain(twice) {
-            let accounts = hosts[from].shared_records(usize::MAX, START);
-            hosts[to].merge(&options, &accounts, START);
+            let records = hosts[from].shared_records(usize::MAX, START);
+            hosts[to].merge(&options, &records, START);
         }
         let all: Vec<Event> = seen.concat();
         let one = table(&all).verdict(fatal(), START);
@@ -286,8 +286,8 @@
         let mut hosts = [Table::default(), Table::default()];
         for (n, process) in events.into_iter().enumerate() {
             apply(&mut hosts[n % 2], &[CanaryEnds(process)], START);
-            let accounts = hosts[n % 2].shared_records(10, START);
-            hosts[(n + 1) % 2].merge(&options, &accounts, START);
+            let records = hosts[n % 2].shared_records(10, START);
+            hosts[(n + 1) % 2].merge(&options, &records, START);
         }
         for host in &hosts {
             let verdict = host.verdict(fatal(), START);
@@ -300,10 +300,10 @@
 #[test]
 fn shared_records_are_small() {
     let ends: Vec<Event> = (0..50).map(Ends).collect();
-    let accounts = table(&ends).shared_records(10, START);
-    let [account] = accounts.as_slice() else {
-        panic!("{accounts:?}");
+    let records = table(&ends).shared_records(10, START);
+    let [record] = records.as_slice() else {
+        panic!("{records:?}");
     };
-    assert_eq!(account.ends.len(), Options::default().ends);
-    assert_eq!(account.state, State::Suspect);
+    assert_eq!(record.ends.len(), Options::default().ends);
+    assert_eq!(record.state, State::Suspect);
 }
