--- a/crates/lentillift-fleet/src/probe.rs
+++ b/crates/lentillift-fleet/src/probe.rs
@@ -329,8 +329,8 @@
             if std::mem::replace(&mut drawn, true) {
                 return None;
             }
-            let home = context.table.iter().filter(usable);
-            self.round = home.map(|m| m.host.clone()).collect();
+            let near = context.table.iter().filter(usable);
+            self.round = near.map(|m| m.host.clone()).collect();
             self.round.shuffle(rng);
         }
     }
--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -48,7 +48,7 @@
     /// Number of these servers that have to end under canaries.
     pub canary_ends: usize,
     /// The same for a request that servers have answered within `memory`.
-    pub proven_canary_ends: usize,
+    pub answered_canary_ends: usize,
     /// Time after which an end that led to no quarantine is forgotten.
     pub memory: Duration,
     /// Time until a canary tests whether servers can run the request by now; doubled after each
@@ -66,7 +66,7 @@
         Self {
             ends: 3,
             canary_ends: 2,
-            proven_canary_ends: 4,
+            answered_canary_ends: 4,
             memory: Duration::from_secs(600),
             hold: Duration::from_secs(60),
             trials: 2,
@@ -190,7 +190,7 @@
     /// Number of servers that have to end under canaries of a request before it is quarantined.
     fn canary_ends(&self, options: &Options, fingerprint: Fingerprint, now: Time) -> usize {
         match self.recently_answered.has(fingerprint, now, options.memory) {
-            true => options.proven_canary_ends,
+            true => options.answered_canary_ends,
             false => options.canary_ends,
         }
     }
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -92,7 +92,7 @@
     ) -> bool {
         let mut is_new = add(&mut self.ends, &[end.process], options.ends);
         if end.canary {
-            let most = options.proven_canary_ends;
+            let most = options.answered_canary_ends;
             is_new |= add(&mut self.canary_ends, &[end.process], most);
         }
         if is_new {
@@ -155,7 +155,7 @@
             self.start_generation(received.generation, now);
             changed = !was_clear;
         }
-        let most = options.proven_canary_ends;
+        let most = options.answered_canary_ends;
         changed |= add(&mut self.ends, &received.ends, options.ends);
         changed |= add(&mut self.canary_ends, &received.canary_ends, most);
         if let State::Quarantined { left, trials } = received.state {
