--- a/crates/lentillift-entry/src/core.rs
+++ b/crates/lentillift-entry/src/core.rs
@@ -316,7 +316,7 @@
     /// Validates a request and pins its query to a snapshot.
     fn validate(&self, now: Time, search: &SearchRequest) -> Result<Query, Refusal> {
         // A process that was paused or partitioned missed what was taken out of service meanwhile.
-        if !self.view.fresh(now) {
+        if !self.view.is_fresh(now) {
             return Err(Refusal::new(Cause::Stale, "no fresh view of the fleet")
                 .retry_after(Duration::from_secs(1)));
         }
--- a/crates/lentillift-entry/src/core/canary.rs
+++ b/crates/lentillift-entry/src/core/canary.rs
@@ -69,13 +69,13 @@
         if !self.policy.quarantine.on || query.has_reply() {
             return;
         }
-        let process = quarantine::process(&sub_request.backend, id);
+        let process = quarantine::process_id(&sub_request.backend, id);
         let end = End {
             process,
             canary: is_canary,
         };
         self.quarantine
-            .ended(&Options::default(), query.fingerprint, end, now);
+            .record_end(&Options::default(), query.fingerprint, end, now);
     }
 
     /// Records that a server replied to a query, and sends its deferred shards.
@@ -86,7 +86,7 @@
         let deferred = std::mem::take(&mut query.deferred);
         query.canary = None;
         self.quarantine
-            .answered(&Options::default(), query.fingerprint, now);
+            .record_reply(&Options::default(), query.fingerprint, now);
         let mut effects = Vec::new();
         for position in deferred {
             effects.extend(self.send_deferred_shard(now, run, position));
--- a/crates/lentillift-fleet/benches/view.rs
+++ b/crates/lentillift-fleet/benches/view.rs
@@ -1,4 +1,4 @@
-//! What it costs to draw a view at the target size.
+//! Cost of deriving a view at the target size.
 
 use criterion::Criterion;
 use lentillift_core::id;
@@ -18,13 +18,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Hosts at the target size.
+/// Number of hosts at the target size.
 const HOSTS: usize = 760;
 
-/// Services, each with as many backend servers.
+/// Number of services, each with as many backend servers.
 const SERVICES: usize = 68;
 
-/// Backend servers at the target size.
+/// Number of backend servers at the target size.
 const BACKENDS: usize = 4600;
 
 fn address(number: usize) -> SocketAddr {
@@ -88,20 +88,20 @@
     hosts.collect()
 }
 
-fn draw(criterion: &mut Criterion) {
+fn bench_views(criterion: &mut Criterion) {
     let values = values();
     let hosts = hosts();
     let view = View::derive(1, Time::MAX, values.clone(), hosts.clone());
     criterion.bench_function("values changed", |bencher| {
-        bencher.iter(|| black_box(view.follow(Some(&values), hosts.clone())));
+        bencher.iter(|| black_box(view.updated(Some(&values), hosts.clone())));
     });
     let mut fewer = hosts.clone();
     fewer.pop_first();
     criterion.bench_function("one host less", |bencher| {
-        bencher.iter(|| black_box(view.follow(None, fewer.clone())));
+        bencher.iter(|| black_box(view.updated(None, fewer.clone())));
     });
     criterion.bench_function("same usable hosts", |bencher| {
-        bencher.iter(|| black_box(view.follow(None, hosts.clone())));
+        bencher.iter(|| black_box(view.updated(None, hosts.clone())));
     });
     criterion.bench_function("renewal", |bencher| {
         bencher.iter(|| black_box(View::clone(&view)));
@@ -110,6 +110,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().sample_size(10).configure_from_args();
-    draw(&mut criterion);
+    bench_views(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/lentillift-fleet/examples/ownership.rs
+++ b/crates/lentillift-fleet/examples/ownership.rs
@@ -1,7 +1,9 @@
-//! What ownership costs and moves as the fleet grows; run in a release build.
+//! Measures what ownership costs and how much of it moves as the fleet grows; run in a release
+//! build.
 //!
 //! Prints, for each size, the share of backend servers whose owner and whose guardians change when
-//! one host leaves the published list, and the bytes of renewals that a process sends and receives.
+//! one host leaves the published list, and the claims that a process sends per second and to how
+//! many peers.
 
 use lentillift_fleet::guardian;
 use lentillift_settings::placement::State;
@@ -11,7 +13,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Hosts, backend servers and failure domains of each size.
+/// Numbers of hosts, backend servers and failure domains of each size.
 const SIZES: [(usize, usize, usize); 5] = [
     (6, 140, 3),
     (9, 140, 4),
@@ -27,12 +29,12 @@
         let mut after = before.clone();
         after.hosts.remove("host-0");
         let names: Vec<String> = (0..servers).map(|n| format!("notice-search-{n}")).collect();
-        let since = Instant::now();
+        let started = Instant::now();
         let old: Vec<_> = names
             .iter()
             .map(|n| guardian::choose(n, "d0", &before))
             .collect();
-        let spent = since.elapsed();
+        let elapsed = started.elapsed();
         let new: Vec<_> = names
             .iter()
             .map(|n| guardian::choose(n, "d0", &after))
@@ -40,24 +42,24 @@
         let pairs = || old.iter().zip(&new);
         let owners = pairs().filter(|(a, b)| a.first() != b.first()).count();
         let sets = pairs().filter(|(a, b)| a != b).count();
-        // A holder asks all its guardians but itself, once a second.
-        let mut asked: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
+        // A holder sends renewals to all its guardians but itself, once a second.
+        let mut renewed: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
         let mut claims = 0;
         for guardians in &old {
             claims += guardians.len() - 1;
             let mut rest = guardians.iter();
             if let Some(holder) = rest.next() {
-                asked.entry(holder).or_default().extend(rest);
+                renewed.entry(holder).or_default().extend(rest);
             }
         }
-        let peers: usize = asked.values().map(BTreeSet::len).sum();
+        let peers: usize = renewed.values().map(BTreeSet::len).sum();
         println!(
             "{hosts} {servers} {:.4} {:.4} {:.1} {:.1} {:.1}",
             owners as f64 / servers as f64,
             sets as f64 / servers as f64,
             peers as f64 / hosts as f64,
             claims as f64 / hosts as f64,
-            spent.as_secs_f64() * 1e3,
+            elapsed.as_secs_f64() * 1e3,
         );
     }
 }
--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -1,105 +1,112 @@
-//! How old knowledge is that came over a way which may be late.
+//! Age of data that was received over a path which may delay messages.
 //!
-//! Pattern: a queue builds up on the way from an origin, and its messages come later and later, one as long
-//! after the other as ever. Each tells the age that the origin's knowledge had when it was written. A
-//! follower that went by that alone would hold outdated knowledge for fresh, and so would all that follow it.
+//! Scenario: a queue builds up on the path from an origin, and its messages arrive later and later,
+//! at the same intervals as ever. Each states the age that the origin's data had when it was
+//! written. A follower that relied on that alone would treat outdated data as fresh, and so would
+//! all that follow it.
 //!
-//! An answer was written after its question was asked. So a follower asks, and counts the age of what it
-//! is told from the time of the question by its own clock. No clocks of two hosts are compared, and whatever
-//! a message waits for, at either end or on its way, makes knowledge older and never fresher.
+//! An answer is written after its poll was sent. So a follower sends numbered polls, and counts the
+//! age of the data from the time of the poll by its own clock. No clocks of two hosts are compared,
+//! and whatever delays a message, at either end or in transit, makes the data older and never
+//! fresher.
 
 use lentillift_core::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of a question to an origin. The request to be told what is published is the first, 0.
-pub type Number = u32;
+/// Number of a poll to an origin. The request that opens the stream is the first, 0.
+pub type PollNumber = u32;
 
-/// A question without an answer.
+/// A poll and when it was sent.
 #[derive(Debug, Clone, Copy)]
-struct Question {
-    number: Number,
-    asked: Time,
+struct Poll {
+    number: PollNumber,
+    sent: Time,
 }
 
 /// What to do after a message of an origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing: it answers a question, or another question is under way.
+pub enum Reaction {
+    /// Nothing: the message answers a poll, or another poll is in flight.
     Answer,
-    /// It came by itself. Asked now, the origin proves that what it tells is fresh.
+    /// Send a poll: the message was sent unprompted. The answer proves that the origin's data is
+    /// fresh.
     Ask,
 }
 
-/// A message answers a question that was never asked, or one before those that are answered.
+/// A message answers a poll that was never sent, or one before the last that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unasked(pub Number);
+pub struct UnexpectedAnswer(pub PollNumber);
 
-impl std::fmt::Display for Unasked {
+impl std::fmt::Display for UnexpectedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "question {} is not open", self.0)
+        write!(f, "poll {} is not outstanding", self.0)
     }
 }
 
-/// The questions of a follower to its origin.
+/// Polls of a follower to its origin.
 #[derive(Debug)]
-pub struct Questions {
-    /// The last one that was answered, or the first before there is an answer.
-    last: Question,
-    /// Those after it.
-    // INVARIANT: Neither numbers nor times fall.
-    open: VecDeque<Question>,
-    next: Number,
+pub struct Polls {
+    /// The last poll that was answered, or the first before there is an answer.
+    last_answered: Poll,
+    /// Unanswered polls sent after it.
+    // INVARIANT: Neither numbers nor times decrease.
+    outstanding: VecDeque<Poll>,
+    next: PollNumber,
 }
 
-impl Questions {
-    /// The first question is asked now.
+impl Polls {
+    /// Starts with the first poll, which is sent now.
     pub fn start(now: Time) -> Self {
         Self {
-            last: Question {
+            last_answered: Poll {
                 number: 0,
-                asked: now,
+                sent: now,
             },
-            open: VecDeque::new(),
+            outstanding: VecDeque::new(),
             next: 1,
         }
     }
 
-    /// Asks another question now.
-    pub fn ask(&mut self, now: Time) -> Number {
+    /// Numbers another poll, which is sent now.
+    pub fn send(&mut self, now: Time) -> PollNumber {
         let number = self.next;
         self.next += 1;
-        let asked = now;
-        self.open.push_back(Question { number, asked });
+        let sent = now;
+        self.outstanding.push_back(Poll { number, sent });
         number
     }
 
-    /// Takes in a message that was written after question `number` had arrived.
+    /// Handles a message that was written after poll `number` had arrived at the origin.
     ///
     /// # Errors
     ///
-    /// When that question is not open.
-    pub fn hear(&mut self, number: Number) -> Result<Heard, Unasked> {
-        let is_answer = number != self.last.number;
-        while self.last.number != number {
-            self.last = self.open.pop_front().ok_or(Unasked(number))?;
+    /// When that poll is not outstanding.
+    pub fn receive(&mut self, number: PollNumber) -> Result<Reaction, UnexpectedAnswer> {
+        let is_answer = number != self.last_answered.number;
+        while self.last_answered.number != number {
+            self.last_answered = self
+                .outstanding
+                .pop_front()
+                .ok_or(UnexpectedAnswer(number))?;
         }
-        match is_answer || !self.open.is_empty() {
-            true => Ok(Heard::Answer),
-            false => Ok(Heard::Ask),
+        match is_answer || !self.outstanding.is_empty() {
+            true => Ok(Reaction::Answer),
+            false => Ok(Reaction::Ask),
         }
     }
 
-    /// Age of knowledge that was `told` old when the last message was written.
-    pub fn age(&self, now: Time, told: Duration) -> Duration {
-        now.saturating_sub(self.last.asked) + told
+    /// Age of data that was `age_when_sent` old when the last message was written.
+    pub fn age(&self, now: Time, age_when_sent: Duration) -> Duration {
+        now.saturating_sub(self.last_answered.sent) + age_when_sent
     }
 }
 
-/// Age of knowledge after a watch that was held for `wait` told of no change, `passed` after it was asked for.
+/// Age of the data after a watch that was held for `wait` and returned no change, `passed` after it
+/// was requested.
 ///
-/// The service answers no sooner than it has held it for that long, so the answer left at most the rest ago. One
-/// that came too soon proves no more than any answer does.
+/// The service answers only after it has held the watch for that long, so the answer was sent at
+/// most the remaining time ago. An answer that came earlier proves no more than any other answer.
 pub fn age_after_watch(passed: Duration, wait: Duration) -> Duration {
     passed.checked_sub(wait).unwrap_or(passed)
 }
--- a/crates/lentillift-fleet/src/freshness.rs
+++ b/crates/lentillift-fleet/src/freshness.rs
@@ -1,45 +1,46 @@
-//! Until when this process may act on what it knows.
+//! Deadline until which this process may act on its state.
 //!
-//! Load pattern: a process is stopped, or its host is starved, for seconds, and wakes up with old
-//! work at hand; or it is cut off while callers still reach it. Without this it would go on sending
-//! work to a failure domain that was taken out meanwhile, or to a backend server that another
-//! process has been given.
+//! Scenario: a process is stopped, or its host is starved, for seconds, and resumes with old work
+//! at hand; or it is isolated while callers still reach it. Without the deadline it would go on
+//! sending work to a failure domain that was taken out of service meanwhile, or to a backend server
+//! that another process now holds.
 
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Figures of freshness.
+/// Parameters of the freshness deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
     /// Longest time between two ticks that does not count as a pause.
     ///
-    /// Ten ticks' time: a busy host delays a tick by tens of milliseconds, rarely by more.
-    pub pause: Duration,
-    /// Longest time without a proof that anybody is reached.
+    /// Ten tick periods: a busy host delays a tick by tens of milliseconds, rarely by more.
+    pub max_tick_gap: Duration,
+    /// Longest time without proof that any peer or the service can be reached.
     ///
-    /// Six probe periods: with one packet in ten lost, six failing in a row is one in millions.
-    pub cut: Duration,
+    /// Six probe periods: with one packet in ten lost, six failures in a row happen once in
+    /// millions of cases.
+    pub max_proof_age: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            pause: Duration::from_secs(1),
-            cut: Duration::from_secs(3),
+            max_tick_gap: Duration::from_secs(1),
+            max_proof_age: Duration::from_secs(3),
         }
     }
 }
 
-/// Until when this process may act on what it knows.
+/// Deadline until which this process may act on its state.
 #[derive(Debug)]
 pub struct Freshness {
     options: Options,
-    ticked: Time,
-    /// When the latest question was sent that was answered.
+    last_tick: Time,
+    /// When the latest request that was answered had been sent.
     proof: Option<Time>,
-    /// Questions from before this time prove nothing.
+    /// Answers to requests sent before this time prove nothing.
     // INVARIANT: The end of the latest pause.
-    awake: Time,
+    resumed: Time,
 }
 
 impl Freshness {
@@ -47,45 +48,47 @@
     pub fn new(options: Options, now: Time) -> Self {
         Self {
             options,
-            ticked: now,
+            last_tick: now,
             proof: None,
-            awake: now,
+            resumed: now,
         }
     }
 
-    /// Notes that time passes; returns how long the process was paused, if it was.
+    /// Records that time has passed; returns how long the process was paused, if it was.
     pub fn tick(&mut self, now: Time) -> Option<Duration> {
-        let gap = now.saturating_sub(self.ticked);
-        self.ticked = now;
-        if gap < self.options.pause {
+        let gap = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
+        if gap < self.options.max_tick_gap {
             return None;
         }
-        // An answer that waited in a socket through the pause tells nothing of the present. Only a
-        // question that is sent from now on can prove that somebody is reached.
-        self.awake = now;
+        // An answer that waited in a socket during the pause says nothing about the present. Only a
+        // request that is sent from now on can prove that somebody can be reached.
+        self.resumed = now;
         self.proof = None;
         Some(gap)
     }
 
-    /// Notes that a question which was sent at `sent` has been answered.
+    /// Records that a request sent at `sent` has been answered.
     pub fn prove(&mut self, sent: Time) {
-        if sent >= self.awake {
+        if sent >= self.resumed {
             self.proof = self.proof.max(Some(sent));
         }
     }
 
-    /// Time since the latest question that was answered.
+    /// Time since the latest answered request was sent.
     pub fn age(&self, now: Time) -> Duration {
-        now.saturating_sub(self.proof.unwrap_or(self.awake))
+        now.saturating_sub(self.proof.unwrap_or(self.resumed))
     }
 
-    /// Until when this process may act on what it knows, unless that is renewed.
+    /// Deadline until which this process may act on its state, unless it is renewed.
     ///
-    /// Not later than a pause from the last tick: whoever looks at a clock after a pause, before
-    /// this could tell it anything, finds the time over.
-    pub fn until(&self) -> Time {
+    /// It is at most one allowed tick gap after the last tick: code that reads the clock right
+    /// after a pause, before any tick could detect the pause, finds the deadline passed.
+    pub fn deadline(&self) -> Time {
         match self.proof {
-            Some(proof) => (proof + self.options.cut).min(self.ticked + self.options.pause),
+            Some(proof) => {
+                (proof + self.options.max_proof_age).min(self.last_tick + self.options.max_tick_gap)
+            }
             None => Time::ZERO,
         }
     }
--- a/crates/lentillift-fleet/src/gossip.rs
+++ b/crates/lentillift-fleet/src/gossip.rs
@@ -1,23 +1,23 @@
-//! News that this process still passes on.
+//! Queue of updates that this process still has to spread by gossip.
 //!
-//! Load pattern: a burst of changes, as when a rack goes or half the fleet is replaced. Each change
-//! is passed on a bounded number of times and datagrams are bounded, so that a burst takes longer to
-//! spread but never sends more per second.
+//! Scenario: a burst of changes, as when a rack fails or half the fleet is replaced. Each change is
+//! sent a bounded number of times and datagrams are bounded, so that a burst takes longer to spread
+//! but never sends more per second.
 
 use crate::member::Member;
-use crate::packet::NEWS_BYTES;
-use crate::packet::News;
+use crate::packet::UPDATES_BYTES;
+use crate::packet::Update;
 use crate::value::Key;
 use lentillift_core::id;
 use std::collections::BTreeMap;
 
-/// Copies of one piece of news for each doubling of the fleet.
+/// Copies of one update for each doubling of the fleet.
 ///
-/// With as many random receivers as doublings everybody hears of it nearly certainly; three times
-/// as many bears the loss of half the datagrams.
+/// With as many random receivers as doublings an update reaches nearly every host; three times as
+/// many tolerate the loss of half the datagrams.
 const COPIES: u32 = 3;
 
-/// What news is about; newer news replaces older about the same.
+/// Subject of an update; a newer update replaces an older one with the same subject.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Host(id::Host),
@@ -26,65 +26,67 @@
 
 #[derive(Debug)]
 struct Item {
-    news: News,
-    /// Times it is still to be sent.
-    left: u32,
-    /// Whether it has not been sent yet.
-    new: bool,
+    update: Update,
+    /// Number of times that the update is still to be sent.
+    sends_left: u32,
+    /// Whether the update has not been sent yet.
+    unsent: bool,
 }
 
-/// News that this process still passes on.
+/// Updates that this process still has to spread.
 #[derive(Debug, Default)]
 pub struct Queue {
     items: BTreeMap<Subject, Item>,
 }
 
 impl Queue {
-    /// Adds news, to be sent to so many others that all of `hosts` hear of it.
-    pub fn push(&mut self, news: News, hosts: usize) {
-        let subject = match &news {
-            News::Member(member) => Subject::Host(member.host.clone()),
-            News::Value(key, _) => Subject::Key(key.clone()),
+    /// Adds an update, to be sent often enough to reach all of `hosts`.
+    pub fn push(&mut self, update: Update, hosts: usize) {
+        let subject = match &update {
+            Update::Member(member) => Subject::Host(member.host.clone()),
+            Update::Value(key, _) => Subject::Key(key.clone()),
         };
         let doublings = usize::BITS - hosts.leading_zeros();
         let item = Item {
-            news,
-            left: COPIES * doublings.max(1),
-            new: true,
+            update,
+            sends_left: COPIES * doublings.max(1),
+            unsent: true,
         };
         self.items.insert(subject, item);
     }
 
-    /// Whether something has not been sent to anybody yet.
-    pub fn has_new(&self) -> bool {
-        self.items.values().any(|item| item.new)
+    /// Whether some update has not been sent to anybody yet.
+    pub fn has_unsent(&self) -> bool {
+        self.items.values().any(|item| item.unsent)
     }
 
-    /// Takes news for one datagram that also tells its receiver what is held against it.
-    pub fn take_with(&mut self, against: Option<Member>) -> Vec<News> {
-        let against = against.map(News::Member);
-        let mut news = self.take(against.as_ref().map_or(0, News::bytes));
-        news.extend(against);
-        news
+    /// Takes updates for one datagram, and adds `accusation`, a record by which its receiver is
+    /// suspect, dead or gone.
+    pub fn take_with(&mut self, accusation: Option<Member>) -> Vec<Update> {
+        let accusation = accusation.map(Update::Member);
+        let mut updates = self.take(accusation.as_ref().map_or(0, Update::bytes));
+        updates.extend(accusation);
+        updates
     }
 
-    /// Takes news for one datagram beside `used` bytes, what was sent least often first.
-    pub fn take(&mut self, used: usize) -> Vec<News> {
+    /// Takes updates for one datagram with `used` bytes of other updates, those sent least often
+    /// first.
+    pub fn take(&mut self, used: usize) -> Vec<Update> {
         let mut order: Vec<&mut Item> = self.items.values_mut().collect();
-        order.sort_by_key(|item| std::cmp::Reverse((item.new, item.left)));
-        let mut room = NEWS_BYTES.saturating_sub(used);
+        order.sort_by_key(|item| std::cmp::Reverse((item.unsent, item.sends_left)));
+        let mut space = UPDATES_BYTES.saturating_sub(used);
         let mut taken = Vec::new();
         for item in order {
-            let bytes = item.news.bytes();
-            if bytes > room {
+            let bytes = item.update.bytes();
+            if bytes > space {
                 continue;
             }
-            room -= bytes;
-            item.left -= 1;
-            item.new = false;
-            taken.push(item.news.clone());
+            space -= bytes;
+            item.sends_left -= 1;
+            item.unsent = false;
+            taken.push(item.update.clone());
         }
-        self.items.retain(|_, item| item.left > 0);
+        self.items.retain(|_, item| item.sends_left > 0);
         taken
     }
 }
--- a/crates/lentillift-fleet/src/tenure/guard.rs
+++ b/crates/lentillift-fleet/src/lease_manager/guard.rs
@@ -1,7 +1,7 @@
-//! The side of a guardian: grants to one holder at a time.
+//! Guardian side of leases: grants each backend server to one holder at a time.
 
 use super::Effect;
-use super::Tenure;
+use super::LeaseManager;
 use crate::grant::Attempt;
 use crate::grant::Claim;
 use crate::grant::Holder;
@@ -9,9 +9,9 @@
 use lentillift_core::id;
 use lentillift_core::time::Time;
 
-impl Tenure {
+impl LeaseManager {
     /// Decides on claims as a guardian.
-    pub fn claimed(
+    pub fn handle_claims(
         &mut self,
         now: Time,
         host: &id::Host,
@@ -26,20 +26,20 @@
                 incarnation,
                 attempt: claim.attempt,
             };
-            let verdict = self.register.claim(now, &from, claim);
-            if let Some(place) = self.places.get_mut(&claim.backend) {
-                place.quorum.seal(claim.sealed);
+            let verdict = self.grants.claim(now, &from, claim);
+            if let Some(entry) = self.entries.get_mut(&claim.backend) {
+                entry.quorum.seal(claim.sealed);
             }
             if matches!(&verdict, Verdict::Held(holder) if *holder == self.host) {
-                effects.extend(self.asked(now, &claim.backend, host));
+                effects.extend(self.handle_preferred_claim(now, &claim.backend, host));
             }
             verdicts.push(verdict);
         }
         (verdicts, effects)
     }
 
-    /// Takes back a grant as a guardian.
-    pub fn released(
+    /// Handles the release of grants as a guardian.
+    pub fn handle_release(
         &mut self,
         now: Time,
         host: &id::Host,
@@ -52,12 +52,12 @@
                 incarnation,
                 attempt: *attempt,
             };
-            self.register.release(now, name, &from);
+            self.grants.release(now, name, &from);
         }
     }
 
-    /// The number of backend servers that this process guards.
-    pub fn guarded(&self) -> usize {
-        self.places.len()
+    /// Number of backend servers that this process guards, or still claims or holds.
+    pub fn guarded_count(&self) -> usize {
+        self.entries.len()
     }
 }
--- a/crates/lentillift-fleet/src/lib.rs
+++ b/crates/lentillift-fleet/src/lib.rs
@@ -1,14 +1,14 @@
-//! The fleet as one process sees it: values in force, who is alive, who owns which backend server.
+//! Fleet state of one process: published values in force, membership, and ownership of backend
+//! servers.
 //!
-//! [`core`] is the whole of a process's part; the other modules are its decisions. Nothing here opens
-//! a socket, reads a clock or draws a random number of its own.
+//! [`core`] combines most of the other modules into one state machine. The crate opens no socket,
+//! reads no clock and seeds no random number generator: the caller passes in events, the time and
+//! the generator.
 
 #![forbid(unsafe_code)]
 
-mod boot;
-mod census;
+mod anti_entropy;
 pub mod core;
-mod drift;
 mod exchange;
 pub mod follow;
 pub mod freshness;
@@ -16,17 +16,19 @@
 pub mod grant;
 pub mod guardian;
 pub mod lease;
-pub mod life;
+pub mod lease_manager;
+pub mod lifecycle;
 pub mod member;
 pub mod packet;
-mod picture;
+mod periodic;
 pub mod probe;
 pub mod quarantine;
 pub mod read;
 pub mod rendezvous;
 pub mod seen;
+mod stats;
 pub mod swim;
 pub mod sync;
-pub mod tenure;
 pub mod value;
 pub mod view;
+mod view_state;
--- a/crates/lentillift-fleet/src/probe.rs
+++ b/crates/lentillift-fleet/src/probe.rs
@@ -1,9 +1,9 @@
-//! Finding out which hosts answer, in the manner of SWIM.
+//! Failure detection by probing, as in SWIM.
 //!
-//! Load pattern: hosts die, links lose packets, and the fleet grows. Each process asks one host per
-//! period, whatever the size of the fleet; a full mesh of heartbeats would cost 760 times as much. A
-//! host that does not answer is asked through others, so that one bad link condemns nobody, and is
-//! only suspected at first, so that it can contradict.
+//! Scenario: hosts die, links lose packets, and the fleet grows. Each process probes one host per
+//! period, whatever the size of the fleet; a full mesh of heartbeats would cost 760 times as much.
+//! A host that does not answer is probed through others, so that one bad link condemns nobody, and
+//! is only suspected at first, so that it can refute the suspicion.
 
 use crate::member::Member;
 use crate::member::Table;
@@ -20,26 +20,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Figures of probing.
+/// Parameters of probing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// Time between two probes of this process.
     pub period: Duration,
-    /// Time after which others are asked to probe; hundreds of round trips in one region.
+    /// Time without an answer after which others are asked to probe; hundreds of round trips in one
+    /// region.
     pub timeout: Duration,
-    /// Others that are asked to probe.
+    /// Number of hosts that are asked to probe.
     pub helpers: usize,
-    /// Time that a suspect has to contradict, in a fleet of one.
+    /// Time that a suspect has to refute the suspicion, in a fleet of one.
     pub suspicion: Duration,
-    /// What each doubling of the fleet adds to it, since news takes longer to come round.
+    /// Additional time per doubling of the fleet, since gossip takes longer to spread.
     pub suspicion_per_doubling: Duration,
-    /// One period in how many also probes a host of another region.
-    pub abroad: u64,
-    /// One period in how many also probes a host that is held to be over.
+    /// One period in this many also probes a host outside the regular round, such as one of another
+    /// region.
+    pub remote_interval: u64,
+    /// One period in this many also probes a host that has ended.
     ///
-    /// Both sides of a partition hold the other for dead, and nobody else would bring them together.
-    pub lost: u64,
-    /// Hosts that a starting process probes in one period.
+    /// Both sides of a partition consider the other dead, and nothing else would reconnect them.
+    pub dead_interval: u64,
+    /// Number of hosts that a starting process probes in one period.
     pub burst: usize,
 }
 
@@ -51,8 +53,8 @@
             helpers: 3,
             suspicion: Duration::from_secs(2),
             suspicion_per_doubling: Duration::from_millis(200),
-            abroad: 8,
-            lost: 4,
+            remote_interval: 8,
+            dead_interval: 4,
             burst: 16,
         }
     }
@@ -65,8 +67,8 @@
     target: Option<(id::Host, Version)>,
     address: SocketAddr,
     sent: Time,
-    /// Whether others were asked to probe.
-    asked: bool,
+    /// Whether other hosts were asked to probe the target.
+    relayed: bool,
 }
 
 /// A ping on behalf of another host.
@@ -77,67 +79,68 @@
     expires: Time,
 }
 
-/// Relays that are remembered at most; what comes beyond is not relayed.
-const MOST_RELAYS: usize = 1024;
+/// Maximum number of pending relays; requests beyond it are dropped.
+const MAX_RELAYS: usize = 1024;
 
-/// What to do next.
+/// Action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Ping an address.
     Ping(SocketAddr, Sequence),
-    /// Ask for a probe.
+    /// Ask another host to probe a target.
     Ask {
-        /// Whom to ask.
+        /// Address of the host that is asked.
         helper: SocketAddr,
-        /// The number of the probe.
+        /// Number of the probe.
         sequence: Sequence,
-        /// The host to be probed.
+        /// Host to be probed.
         target: id::Host,
-        /// Where it is.
+        /// Address of that host.
         address: SocketAddr,
     },
     /// A host failed to answer.
     Judge(id::Host, Version, Health),
 }
 
-/// What an answer means.
+/// Meaning of a received answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// A question of this process's own, sent at this time, is answered.
+    /// Answers a probe of this process that was sent at this time.
     Own(Time),
-    /// A question on behalf of another process is answered; it should be told.
+    /// Answers a probe on behalf of another process, which should be notified.
     Relayed(SocketAddr, Sequence),
-    /// Nobody waits for it any more.
+    /// No probe is waiting for this answer any more.
     Late,
 }
 
-/// The surroundings of a tick.
+/// Inputs of a tick.
 #[derive(Debug)]
-pub struct Around<'a, F> {
+pub struct ProbeContext<'a, F> {
     /// All other hosts.
     pub table: &'a Table,
-    /// Whether a host is in this process's region.
-    pub is_home: F,
-    /// Addresses to ask when no host is known.
+    /// Whether a host belongs to the regular round of probes: those of this process's region in the
+    /// core, those of its failure domain in [`crate::swim`].
+    pub is_near: F,
+    /// Addresses to probe when no host is known.
     pub seeds: &'a [SocketAddr],
-    /// Whether this process is starting and wants to hear of many hosts soon.
+    /// Whether this process is starting and should learn of many hosts soon.
     pub starting: bool,
-    /// Whether this process reaches anybody; if not, its silence tells nothing of others.
-    pub fresh: bool,
+    /// Whether this process reaches anybody; if not, missing answers say nothing about other hosts.
+    pub is_connected: bool,
 }
 
-/// The probes of this process.
+/// Probes, relays and suspicions of this process.
 #[derive(Debug)]
 pub struct Prober {
     options: Options,
     next: Sequence,
     periods: u64,
-    due: Time,
+    next_period: Time,
     /// Hosts still to be probed in this round, in random order.
     round: Vec<id::Host>,
     pending: BTreeMap<Sequence, Pending>,
     relays: BTreeMap<Sequence, Relay>,
-    /// When each suspect is held for dead.
+    /// Version of each suspect, and when it is considered dead.
     suspects: BTreeMap<id::Host, (Version, Time)>,
 }
 
@@ -148,7 +151,7 @@
             options,
             next: 0,
             periods: 0,
-            due: now,
+            next_period: now,
             round: Vec::new(),
             pending: BTreeMap::new(),
             relays: BTreeMap::new(),
@@ -156,25 +159,31 @@
         }
     }
 
-    /// Forgets what it waits for, after a pause in which answers could not be heard.
-    pub fn forget(&mut self) {
+    /// Discards pending probes and suspicions, after a pause in which answers could not be
+    /// received.
+    pub fn reset(&mut self) {
         self.pending.clear();
         self.suspects.clear();
     }
 
-    /// Says what to do now.
-    pub fn tick<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
+    /// Returns the actions that are due.
+    pub fn tick<F, R>(
+        &mut self,
+        now: Time,
+        context: &ProbeContext<'_, F>,
+        rng: &mut R,
+    ) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
     {
         self.relays.retain(|_, relay| relay.expires > now);
-        let mut actions = self.expire(now, around, rng);
-        actions.extend(self.condemn(now, around));
-        if self.due <= now {
-            self.due = now + self.options.period;
+        let mut actions = self.expire(now, context, rng);
+        actions.extend(self.expire_suspects(now, context));
+        if self.next_period <= now {
+            self.next_period = now + self.options.period;
             self.periods += 1;
-            for (target, address) in self.targets(around, rng) {
+            for (target, address) in self.targets(context, rng) {
                 let sequence = self.ping(now, target, address);
                 actions.push(Action::Ping(address, sequence));
             }
@@ -193,14 +202,15 @@
             target,
             address,
             sent: now,
-            asked: false,
+            relayed: false,
         };
         self.pending.insert(self.next, pending);
         self.next
     }
 
-    /// Asks others about hosts that did not answer at once, and suspects those that did not at all.
-    fn expire<F, R>(&mut self, now: Time, around: &Around<'_, F>, rng: &mut R) -> Vec<Action>
+    /// Asks others to probe hosts that missed the timeout, and suspects those that did not answer
+    /// within the period.
+    fn expire<F, R>(&mut self, now: Time, context: &ProbeContext<'_, F>, rng: &mut R) -> Vec<Action>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
@@ -216,9 +226,9 @@
                 actions.push(Action::Judge(host.clone(), *version, Health::Suspect));
                 return false;
             }
-            if age >= options.timeout && !pending.asked {
-                pending.asked = true;
-                for helper in helpers(host, options.helpers, around, rng) {
+            if age >= options.timeout && !pending.relayed {
+                pending.relayed = true;
+                for helper in helpers(host, options.helpers, context, rng) {
                     actions.push(Action::Ask {
                         helper,
                         sequence: *sequence,
@@ -232,20 +242,20 @@
         actions
     }
 
-    /// Holds suspects for dead that had time enough to contradict.
-    fn condemn<F>(&mut self, now: Time, around: &Around<'_, F>) -> Vec<Action> {
-        if !around.fresh {
+    /// Reports suspects as dead that did not refute the suspicion in time.
+    fn expire_suspects<F>(&mut self, now: Time, context: &ProbeContext<'_, F>) -> Vec<Action> {
+        if !context.is_connected {
             self.suspects.clear();
             return Vec::new();
         }
-        let doublings = (around.table.len() + 1).ilog2();
-        let patience = self.options.suspicion + self.options.suspicion_per_doubling * doublings;
+        let doublings = (context.table.len() + 1).ilog2();
+        let grace = self.options.suspicion + self.options.suspicion_per_doubling * doublings;
         let old = std::mem::take(&mut self.suspects);
         let mut actions = Vec::new();
-        for member in around.table.suspects() {
+        for member in context.table.suspects() {
             let known = old.get(&member.host);
             let known = known.filter(|(version, _)| *version == member.version);
-            let (_, deadline) = known.copied().unwrap_or((0, now + patience));
+            let (_, deadline) = known.copied().unwrap_or((0, now + grace));
             if deadline <= now {
                 let host = member.host.clone();
                 actions.push(Action::Judge(host, member.version, Health::Dead));
@@ -257,10 +267,10 @@
         actions
     }
 
-    /// Whom to probe in this period.
+    /// Hosts and addresses to probe in this period; the host is none for a seed.
     fn targets<F, R>(
         &mut self,
-        around: &Around<'_, F>,
+        context: &ProbeContext<'_, F>,
         rng: &mut R,
     ) -> Vec<(Option<(id::Host, Version)>, SocketAddr)>
     where
@@ -268,19 +278,19 @@
         R: Rng,
     {
         let mut targets: Vec<&Member> = Vec::new();
-        targets.extend(self.next_in_round(around, rng));
-        if self.periods.is_multiple_of(self.options.abroad) {
-            let abroad = around.table.iter();
-            let abroad = abroad.filter(|m| !m.is_over() && !(around.is_home)(m));
-            targets.extend(abroad.choose(rng));
+        targets.extend(self.next_in_round(context, rng));
+        if self.periods.is_multiple_of(self.options.remote_interval) {
+            let remote = context.table.iter();
+            let remote = remote.filter(|m| !m.has_ended() && !(context.is_near)(m));
+            targets.extend(remote.choose(rng));
         }
-        if self.periods.is_multiple_of(self.options.lost) || targets.is_empty() {
-            let lost = around.table.iter();
-            let lost = lost.filter(|m| m.is_over() && around.table.may_return(&m.host));
-            targets.extend(lost.choose(rng));
+        if self.periods.is_multiple_of(self.options.dead_interval) || targets.is_empty() {
+            let ended = context.table.iter();
+            let ended = ended.filter(|m| m.has_ended() && context.table.may_return(&m.host));
+            targets.extend(ended.choose(rng));
         }
-        if around.starting {
-            let unheard = around.table.iter().filter(|m| m.version == 0);
+        if context.starting {
+            let unheard = context.table.iter().filter(|m| m.version == 0);
             targets.extend(unheard.choose_multiple(rng, self.options.burst));
         }
         targets.sort_by(|a, b| a.host.cmp(&b.host));
@@ -289,40 +299,45 @@
         let mut targets: Vec<_> = targets
             .map(|m| (Some((m.host.clone(), m.version)), m.address))
             .collect();
-        if targets.is_empty() || around.starting {
-            targets.extend(around.seeds.iter().map(|seed| (None, *seed)));
+        if targets.is_empty() || context.starting {
+            targets.extend(context.seeds.iter().map(|seed| (None, *seed)));
         }
         targets
     }
 
-    /// The next host of the own region in a random order that is drawn anew for each round.
+    /// The next host of the regular round, in a random order that is drawn again for each round.
     ///
-    /// With a draw for each period alone, a host would now and then go unasked for many periods.
-    fn next_in_round<'a, F, R>(&mut self, around: &Around<'a, F>, rng: &mut R) -> Option<&'a Member>
+    /// With an independent draw for each period, a host would now and then stay unprobed for many
+    /// periods.
+    fn next_in_round<'a, F, R>(
+        &mut self,
+        context: &ProbeContext<'a, F>,
+        rng: &mut R,
+    ) -> Option<&'a Member>
     where
         F: Fn(&Member) -> bool,
         R: Rng,
     {
-        let usable = |m: &&Member| !m.is_over() && (around.is_home)(m);
+        let usable = |m: &&Member| !m.has_ended() && (context.is_near)(m);
         let mut drawn = false;
         loop {
             while let Some(host) = self.round.pop() {
-                if let Some(member) = around.table.get(&host).filter(usable) {
+                if let Some(member) = context.table.get(&host).filter(usable) {
                     return Some(member);
                 }
             }
             if std::mem::replace(&mut drawn, true) {
                 return None;
             }
-            let home = around.table.iter().filter(usable);
-            self.round = home.map(|m| m.host.clone()).collect();
+            let near = context.table.iter().filter(usable);
+            self.round = near.map(|m| m.host.clone()).collect();
             self.round.shuffle(rng);
         }
     }
 
-    /// Pings a host on behalf of another; returns the number of the ping.
+    /// Registers a ping on behalf of another host; returns the number of the ping.
     pub fn relay(&mut self, now: Time, origin: SocketAddr, sequence: Sequence) -> Option<Sequence> {
-        if self.relays.len() >= MOST_RELAYS {
+        if self.relays.len() >= MAX_RELAYS {
             return None;
         }
         self.next += 1;
@@ -335,7 +350,7 @@
         Some(self.next)
     }
 
-    /// Takes in the answer of `from` to a ping.
+    /// Handles the answer of `from` to a ping.
     pub fn ack(&mut self, from: &id::Host, sequence: Sequence) -> Answer {
         if let Some(relay) = self.relays.remove(&sequence) {
             return Answer::Relayed(relay.origin, relay.sequence);
@@ -343,7 +358,7 @@
         let Some(pending) = self.pending.get(&sequence) else {
             return Answer::Late;
         };
-        // Another process may answer under the address of one that was replaced.
+        // Another process may answer at the address of one that was replaced.
         if pending
             .target
             .as_ref()
@@ -351,30 +366,30 @@
         {
             return Answer::Late;
         }
-        self.settle(sequence)
+        self.complete(sequence)
     }
 
-    /// Takes in that a helper had an answer to a ping.
-    pub fn settle(&mut self, sequence: Sequence) -> Answer {
+    /// Handles a helper's report that a ping was answered.
+    pub fn complete(&mut self, sequence: Sequence) -> Answer {
         let pending = self.pending.remove(&sequence);
         pending.map_or(Answer::Late, |pending| Answer::Own(pending.sent))
     }
 }
 
-/// Draws hosts that may be asked to probe `target`, from this process's region.
+/// Draws hosts to ask for a probe of `target`, among those of the regular round.
 fn helpers<F, R>(
     target: &id::Host,
     count: usize,
-    around: &Around<'_, F>,
+    context: &ProbeContext<'_, F>,
     rng: &mut R,
 ) -> Vec<SocketAddr>
 where
     F: Fn(&Member) -> bool,
     R: Rng,
 {
-    let usable = around.table.iter().filter(|m| {
+    let usable = context.table.iter().filter(|m| {
         let fit = m.health == Health::Alive && m.stage != Stage::Gone && m.version > 0;
-        fit && m.host != *target && (around.is_home)(m)
+        fit && m.host != *target && (context.is_near)(m)
     });
     let drawn = usable.choose_multiple(rng, count);
     drawn.into_iter().map(|m| m.address).collect()
--- a/crates/lentillift-fleet/src/quarantine/record.rs
+++ b/crates/lentillift-fleet/src/quarantine/record.rs
@@ -1,22 +1,23 @@
-//! What is held of one request.
+//! State of one request at one host.
 //!
-//! Hosts' clocks differ and messages take time, so what is newer is not told by times. A record has a generation,
-//! which rises with each reply of a server; of two accounts the one of the later generation holds, and
-//! two of the same generation are joined. Told by ages, a doubt and its end followed each other round the fleet
-//! for ever, each a little newer by the time that it took on its way.
+//! Hosts' clocks differ and messages take time, so timestamps don't decide which of two records is
+//! newer. A record has a generation, which increases with each reply of a server; of two records
+//! the one of the later generation applies, and two of the same generation are merged. When ages
+//! decided, a suspicion and its end circulated in the fleet for ever, each made a little newer by
+//! the time that it spent in transit.
 
-use super::Account;
 use super::End;
-use super::FOREVER;
+use super::INDEFINITE;
 use super::Options;
-use super::Process;
+use super::ProcessId;
+use super::SharedRecord;
 use super::State;
 use super::Verdict;
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
 use std::time::Duration;
 
-/// Whether it is decided what a request does.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Stage {
     #[default]
@@ -24,29 +25,29 @@
     Quarantined {
         /// When a canary may be sent; none once all have been.
         until: Option<Time>,
-        /// Canaries that were sent since.
+        /// Number of canaries that were sent since the quarantine began.
         trials: u32,
     },
 }
 
-/// What is held of one request.
+/// State of one request.
 #[derive(Debug, Default)]
 pub(super) struct Record {
-    /// Times that it was cleared.
+    /// Number of times that the request was cleared.
     generation: u32,
-    /// Processes that ended under it in this generation.
+    /// Processes that ended under the request in this generation.
     // INVARIANT: All differ.
-    ends: Vec<Process>,
-    /// Those under canaries.
+    ends: Vec<ProcessId>,
+    /// Processes that ended under canaries in this generation.
     // INVARIANT: All differ.
-    canary_ends: Vec<Process>,
-    /// When something last changed.
+    canary_ends: Vec<ProcessId>,
+    /// When the record last changed.
     latest: Time,
     stage: Stage,
-    /// Whether others should be told.
-    is_news: bool,
-    /// Whether others know of this generation.
-    is_told: bool,
+    /// Whether the record has changes that were not sent to other hosts.
+    has_changes: bool,
+    /// Whether other hosts know of this generation.
+    is_known_elsewhere: bool,
 }
 
 impl Record {
@@ -54,11 +55,11 @@
         match self.stage {
             Stage::Open if self.ends.is_empty() => Verdict::Clear,
             Stage::Open => Verdict::Suspect,
-            Stage::Quarantined { until, .. } => Verdict::Quarantined(left(until, now)),
+            Stage::Quarantined { until, .. } => Verdict::Quarantined(remaining(until, now)),
         }
     }
 
-    /// Renews a quarantine that is over, if a canary may be sent.
+    /// Renews a quarantine whose time has passed, if a canary may be sent; returns whether it did.
     pub(super) fn renew(&mut self, options: &Options, now: Time) -> bool {
         let Stage::Quarantined {
             until: Some(until),
@@ -77,11 +78,11 @@
             until: (!is_last).then_some(now + hold),
             trials,
         };
-        self.is_news = true;
+        self.has_changes = true;
         true
     }
 
-    /// Notes a server that ended; says whether others should be told.
+    /// Records a server that ended; returns whether other hosts should be informed.
     pub(super) fn ended(
         &mut self,
         options: &Options,
@@ -91,14 +92,14 @@
     ) -> bool {
         let mut is_new = add(&mut self.ends, &[end.process], options.ends);
         if end.canary {
-            let most = options.proven_canary_ends;
+            let most = options.answered_canary_ends;
             is_new |= add(&mut self.canary_ends, &[end.process], most);
         }
         if is_new {
             self.latest = now;
             self.decide(options, canary_ends, now);
         }
-        self.is_news |= is_new;
+        self.has_changes |= is_new;
         is_new
     }
 
@@ -112,20 +113,20 @@
         }
     }
 
-    /// Notes that it is clear; says whether it was not before.
+    /// Clears the request; returns whether it was suspect or quarantined before.
     pub(super) fn clear(&mut self, now: Time) -> bool {
         if self.stage == Stage::Open && self.ends.is_empty() {
             return false;
         }
-        // Nobody needs to know of a doubt that is over before it was told.
-        let is_told = self.is_told;
-        self.enter(self.generation.saturating_add(1), now);
-        self.is_news = is_told;
+        // Other hosts need not learn of a suspicion that ended before it was sent to them.
+        let is_known_elsewhere = self.is_known_elsewhere;
+        self.start_generation(self.generation.saturating_add(1), now);
+        self.has_changes = is_known_elsewhere;
         true
     }
 
     /// Starts a generation without ends.
-    fn enter(&mut self, generation: u32, now: Time) {
+    fn start_generation(&mut self, generation: u32, now: Time) {
         *self = Self {
             generation,
             latest: now,
@@ -133,47 +134,47 @@
         };
     }
 
-    pub(super) fn is_news(&self) -> bool {
-        self.is_news
+    pub(super) fn has_changes(&self) -> bool {
+        self.has_changes
     }
 
-    /// Takes in what another host holds; says whether that changed anything.
-    pub(super) fn hear(
+    /// Merges the record of another host; returns whether that changed anything.
+    pub(super) fn merge(
         &mut self,
         options: &Options,
         canary_ends: usize,
-        account: &Account,
+        received: &SharedRecord,
         now: Time,
     ) -> bool {
-        if account.generation < self.generation {
+        if received.generation < self.generation {
             return false;
         }
         let was_clear = self.verdict(now) == Verdict::Clear;
         let mut changed = false;
-        if account.generation > self.generation {
-            self.enter(account.generation, now);
+        if received.generation > self.generation {
+            self.start_generation(received.generation, now);
             changed = !was_clear;
         }
-        let most = options.proven_canary_ends;
-        changed |= add(&mut self.ends, &account.ends, options.ends);
-        changed |= add(&mut self.canary_ends, &account.canary_ends, most);
-        if let State::Quarantined { left, trials } = account.state {
+        let most = options.answered_canary_ends;
+        changed |= add(&mut self.ends, &received.ends, options.ends);
+        changed |= add(&mut self.canary_ends, &received.canary_ends, most);
+        if let State::Quarantined { left, trials } = received.state {
             let until = left.map(|left| now + left);
-            changed |= self.hear_quarantine(until, trials);
+            changed |= self.adopt_quarantine(until, trials);
         } else {
             self.decide(options, canary_ends, now);
         }
         if changed {
             self.latest = now;
         }
-        self.is_news |= changed;
-        // Whoever told it knows it.
-        self.is_told = true;
+        self.has_changes |= changed;
+        // The sender knows of this generation.
+        self.is_known_elsewhere = true;
         changed
     }
 
-    /// Takes over another host's quarantine if more canaries were sent in it, or there is none here.
-    fn hear_quarantine(&mut self, until: Option<Time>, trials: u32) -> bool {
+    /// Adopts another host's quarantine if more canaries were sent in it, or if there is none here.
+    fn adopt_quarantine(&mut self, until: Option<Time>, trials: u32) -> bool {
         let is_known = match self.stage {
             Stage::Quarantined { trials: own, .. } => own >= trials,
             Stage::Open => false,
@@ -184,14 +185,14 @@
         !is_known
     }
 
-    /// Whether others should be told; they are from now on.
-    pub(super) fn take_news(&mut self) -> bool {
-        let is_news = std::mem::replace(&mut self.is_news, false);
-        self.is_told |= is_news;
-        is_news
+    /// Takes the flag that the record has unsent changes; the caller sends them.
+    pub(super) fn take_changed(&mut self) -> bool {
+        let has_changes = std::mem::replace(&mut self.has_changes, false);
+        self.is_known_elsewhere |= has_changes;
+        has_changes
     }
 
-    pub(super) fn account(&self, fingerprint: Fingerprint, now: Time) -> Account {
+    pub(super) fn shared_record(&self, fingerprint: Fingerprint, now: Time) -> SharedRecord {
         let state = match self.stage {
             Stage::Open if self.ends.is_empty() => State::Cleared,
             Stage::Open => State::Suspect,
@@ -200,7 +201,7 @@
                 trials,
             },
         };
-        Account {
+        SharedRecord {
             fingerprint,
             generation: self.generation,
             ends: self.ends.clone(),
@@ -210,13 +211,13 @@
         }
     }
 
-    /// Whether it can be forgotten.
-    pub(super) fn is_over(&self, options: &Options, now: Time) -> bool {
+    /// Whether the record can be forgotten.
+    pub(super) fn is_expired(&self, options: &Options, now: Time) -> bool {
         self.stage == Stage::Open && now >= self.latest + options.memory
     }
 
-    /// Orders records by what would be lost with them.
-    pub(super) fn worth(&self) -> (u8, Time) {
+    /// Eviction order: the record with the lowest value is removed first.
+    pub(super) fn eviction_rank(&self) -> (u8, Time) {
         let rank = match self.stage {
             Stage::Open if self.ends.is_empty() => 0,
             Stage::Open => 1,
@@ -226,12 +227,12 @@
     }
 }
 
-fn left(until: Option<Time>, now: Time) -> Duration {
-    until.map_or(FOREVER, |until| until.saturating_sub(now))
+fn remaining(until: Option<Time>, now: Time) -> Duration {
+    until.map_or(INDEFINITE, |until| until.saturating_sub(now))
 }
 
-/// Adds processes that are not among `known`, up to `most`; says whether there were any.
-fn add(known: &mut Vec<Process>, processes: &[Process], most: usize) -> bool {
+/// Adds processes that are not among `known`, up to `most` in total; returns whether any was added.
+fn add(known: &mut Vec<ProcessId>, processes: &[ProcessId], most: usize) -> bool {
     let before = known.len();
     for process in processes {
         if known.len() < most && !known.contains(process) {
--- a/crates/lentillift-fleet/src/sync.rs
+++ b/crates/lentillift-fleet/src/sync.rs
@@ -1,142 +1,146 @@
-//! Fetching from peers what news only names: values, and all that a peer knows.
+//! Fetches from peers what gossip only announces: the bodies of values, and full state.
 //!
-//! Load pattern: a value of a megabyte changes and hundreds of processes want it at once, or a
-//! process starts and wants everything. A process asks for one chunk at a time of a few values, so
-//! that what a peer must send at once is bounded, and the bodies spread as a tree: whoever has a
-//! value tells of it and serves it.
+//! Scenario: a value of a megabyte changes and hundreds of processes want it at once, or a process
+//! starts and wants everything. A process requests a few values at a time, each chunk by chunk, so
+//! that the amount that a peer must send at once is bounded. The bodies spread as a tree: each
+//! process that has a value announces and serves it.
 
 use crate::member::Member;
 use crate::value::Key;
-use crate::value::LIMIT;
-use crate::value::Mark;
+use crate::value::MAX_VALUE_BYTES;
+use crate::value::Stamp;
 use crate::value::Store;
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of a value in one message.
+/// Maximum bytes of a value in one message.
 ///
-/// At a gigabit it holds up the messages behind it for half a millisecond.
-pub const CHUNK: usize = 64 * 1024;
+/// At a gigabit per second a chunk delays the messages behind it by half a millisecond.
+pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Values that are fetched at a time.
-const MOST: usize = 8;
+/// Maximum number of values that are fetched concurrently.
+const MAX_FETCHES: usize = 8;
 
-/// Peers that are remembered as holders of a value.
-const HOLDERS: usize = 4;
+/// Maximum number of peers remembered as holders of a value.
+const MAX_HOLDERS: usize = 4;
 
 /// Time after which a peer that sends no chunk is given up.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What processes tell each other over their links about values and hosts.
+/// Messages between processes, over their links, about values and hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// The receiver should tell all it knows.
+    /// The receiver should send its full state.
     Ask,
-    /// All that the sender knows.
+    /// Full state of the sender.
     Told {
-        /// The hosts, the sender included.
+        /// Records of the hosts, the sender included.
         members: Vec<Member>,
-        /// The keys of the values in force, with their marks.
-        marks: Vec<(Key, Mark)>,
+        /// Keys and stamps of the values in force.
+        stamps: Vec<(Key, Stamp)>,
     },
     /// The receiver should send a chunk of a value.
     Pull {
-        /// The key.
+        /// Key of the value.
         key: Key,
-        /// The mark of the value that is wanted.
-        mark: Mark,
-        /// Where the chunk starts.
+        /// Stamp of the value that is wanted.
+        stamp: Stamp,
+        /// Offset of the chunk, in bytes.
         offset: u32,
     },
     /// A chunk of a value.
     Chunk {
-        /// The key.
+        /// Key of the value.
         key: Key,
-        /// The mark of the value.
-        mark: Mark,
-        /// The configuration service's version number of it.
+        /// Stamp of the value.
+        stamp: Stamp,
+        /// The configuration service's version number of the value.
         version: u64,
-        /// Where the chunk starts.
+        /// Offset of the chunk, in bytes.
         offset: u32,
-        /// Bytes of the whole value.
+        /// Length of the whole value, in bytes.
         total: u32,
-        /// The chunk.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
 }
 
-/// A message to a peer.
-pub type Letter = (id::Host, Message);
+/// A message and the peer that it is sent to.
+pub type Envelope = (id::Host, Message);
 
-/// A value that is wanted.
+/// State of fetching one value.
 #[derive(Debug)]
-struct Want {
-    mark: Mark,
-    /// Peers that said they hold it; the last one is asked.
+struct PendingValue {
+    stamp: Stamp,
+    /// Peers that announced the value; the last one is asked.
     holders: Vec<id::Host>,
     body: Vec<u8>,
-    /// When the peer that was asked is given up; nobody was asked if there is none.
+    /// When the peer that was asked is given up; none while nobody is asked.
     deadline: Option<Time>,
 }
 
-/// A value that arrived as a whole.
+/// A value that was fetched completely.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Arrival {
-    /// Its key.
+pub struct FetchedValue {
+    /// Key of the value.
     pub key: Key,
-    /// The mark its sender gave it.
-    pub mark: Mark,
-    /// The configuration service's version number of it.
+    /// Stamp that the sender gave for the value.
+    pub stamp: Stamp,
+    /// The configuration service's version number of the value.
     pub version: u64,
-    /// The value.
+    /// Bytes of the value.
     pub body: Vec<u8>,
 }
 
-/// The values that this process fetches from peers.
+/// Values that this process fetches from peers.
 #[derive(Debug, Default)]
 pub struct Fetch {
-    wants: BTreeMap<Key, Want>,
+    wants: BTreeMap<Key, PendingValue>,
 }
 
 impl Fetch {
-    /// Whether everything that was wanted has arrived or was given up.
+    /// Whether every wanted value has arrived or was given up.
     pub fn is_idle(&self) -> bool {
         self.wants.is_empty()
     }
 
-    /// Notes that `holder` holds a value that is higher than the one in force here.
-    pub fn want(&mut self, key: &Key, mark: Mark, holder: &id::Host) {
-        let want = self.wants.entry(key.clone()).or_insert_with(|| Want {
-            mark,
-            holders: Vec::new(),
-            body: Vec::new(),
-            deadline: None,
-        });
-        if mark > want.mark {
-            *want = Want {
-                mark,
+    /// Records that `holder` has a value with a higher stamp than the one in force here.
+    pub fn want(&mut self, key: &Key, stamp: Stamp, holder: &id::Host) {
+        let want = self
+            .wants
+            .entry(key.clone())
+            .or_insert_with(|| PendingValue {
+                stamp,
+                holders: Vec::new(),
+                body: Vec::new(),
+                deadline: None,
+            });
+        if stamp > want.stamp {
+            *want = PendingValue {
+                stamp,
                 holders: Vec::new(),
                 body: Vec::new(),
                 deadline: None,
             };
         }
-        if mark == want.mark && want.holders.len() < HOLDERS && !want.holders.contains(holder) {
-            // The one that is asked stays last.
+        if stamp == want.stamp && want.holders.len() < MAX_HOLDERS && !want.holders.contains(holder)
+        {
+            // The peer that is asked stays last.
             want.holders.insert(0, holder.clone());
         }
     }
 
-    /// Drops what is no longer wanted because it, or a higher one, is in force.
-    pub fn settle(&mut self, key: &str, mark: Mark) {
-        if self.wants.get(key).is_some_and(|want| want.mark <= mark) {
+    /// Stops fetching a value if it, or one with a higher stamp, is in force.
+    pub fn cancel_up_to(&mut self, key: &str, stamp: Stamp) {
+        if self.wants.get(key).is_some_and(|want| want.stamp <= stamp) {
             self.wants.remove(key);
         }
     }
 
-    /// Asks for what is wanted, and asks others where a peer does not send.
-    pub fn tick(&mut self, now: Time) -> Vec<Letter> {
+    /// Requests wanted values, and moves on to another peer where one does not send.
+    pub fn tick(&mut self, now: Time) -> Vec<Envelope> {
         for want in self.wants.values_mut() {
             if want.deadline.is_some_and(|deadline| deadline <= now) {
                 want.holders.pop();
@@ -144,28 +148,28 @@
                 want.deadline = None;
             }
         }
-        // Without a holder left, the next digest that differs starts anew.
+        // Without any holder left, the next differing digest starts the fetch again.
         self.wants.retain(|_, want| !want.holders.is_empty());
         let asked = self.wants.values().filter(|want| want.deadline.is_some());
-        let room = MOST.saturating_sub(asked.count());
+        let space = MAX_FETCHES.saturating_sub(asked.count());
         let idle = self.wants.iter_mut().filter(|(_, w)| w.deadline.is_none());
-        let letters = idle.take(room).filter_map(|(key, want)| {
+        let envelopes = idle.take(space).filter_map(|(key, want)| {
             want.deadline = Some(now + TIMEOUT);
-            pull(key, want)
+            pull_message(key, want)
         });
-        letters.collect()
+        envelopes.collect()
     }
 
-    /// Takes in a chunk; returns the value once it is whole.
+    /// Handles a chunk; returns the value once it is complete, or the request for the next chunk.
     pub fn chunk(
         &mut self,
         now: Time,
         from: &id::Host,
         chunk: Message,
-    ) -> (Option<Arrival>, Option<Letter>) {
+    ) -> (Option<FetchedValue>, Option<Envelope>) {
         let Message::Chunk {
             key,
-            mark,
+            stamp,
             version,
             offset,
             total,
@@ -177,15 +181,16 @@
         let Some(want) = self.wants.get_mut(&key) else {
             return (None, None);
         };
-        // The holder may have a higher one by now, which is as good from its start on.
-        if offset == 0 && mark > want.mark {
-            want.mark = mark;
+        // The holder may have a value with a higher stamp by now, which is as good if it is sent
+        // from its start.
+        if offset == 0 && stamp > want.stamp {
+            want.stamp = stamp;
             want.body.clear();
         }
         let expected = want.holders.last() == Some(from)
-            && want.mark == mark
+            && want.stamp == stamp
             && want.body.len() == offset as usize
-            && total as usize <= LIMIT
+            && total as usize <= MAX_VALUE_BYTES
             && !bytes.is_empty();
         if !expected {
             return (None, None);
@@ -193,46 +198,46 @@
         want.body.extend_from_slice(&bytes);
         if want.body.len() < total as usize {
             want.deadline = Some(now + TIMEOUT);
-            return (None, pull(&key, want));
+            return (None, pull_message(&key, want));
         }
         let body = std::mem::take(&mut want.body);
         self.wants.remove(&key);
-        let arrival = Arrival {
+        let fetched = FetchedValue {
             key,
-            mark,
+            stamp,
             version,
             body,
         };
-        (Some(arrival), None)
+        (Some(fetched), None)
     }
 }
 
-fn pull(key: &Key, want: &Want) -> Option<Letter> {
+fn pull_message(key: &Key, want: &PendingValue) -> Option<Envelope> {
     let holder = want.holders.last()?.clone();
     let message = Message::Pull {
         key: key.clone(),
-        mark: want.mark,
+        stamp: want.stamp,
         offset: want.body.len() as u32,
     };
     Some((holder, message))
 }
 
-/// The chunk of the value in force that a peer asked for.
+/// The chunk that a peer requested, of the value in force.
 ///
-/// A value that replaced the one asked for is sent from its start.
-pub fn serve(store: &Store, key: &Key, mark: Mark, offset: u32) -> Option<Message> {
+/// A value that has replaced the requested one is sent from its start.
+pub fn serve(store: &Store, key: &Key, stamp: Stamp, offset: u32) -> Option<Message> {
     let value = store.get(key)?;
-    if value.mark < mark {
+    if value.stamp < stamp {
         return None;
     }
-    let offset = if value.mark == mark { offset } else { 0 };
+    let offset = if value.stamp == stamp { offset } else { 0 };
     let rest = value.body.get(offset as usize..)?;
     Some(Message::Chunk {
         key: key.clone(),
-        mark: value.mark,
+        stamp: value.stamp,
         version: value.version,
         offset,
         total: value.body.len() as u32,
-        bytes: rest[..rest.len().min(CHUNK)].to_vec(),
+        bytes: rest[..rest.len().min(CHUNK_BYTES)].to_vec(),
     })
 }
--- a/crates/lentillift-fleet/tests/follow.rs
+++ b/crates/lentillift-fleet/tests/follow.rs
@@ -1,25 +1,25 @@
-//! Who learns from whom while hosts are cut off from each other, in virtual time.
+//! Choice of origins while hosts are cut off from each other, in virtual time.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Admission;
 use lentillift_fleet::follow::Candidate;
-use lentillift_fleet::follow::FAN;
+use lentillift_fleet::follow::FANOUT;
 use lentillift_fleet::follow::Options;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::search::Left;
+use lentillift_fleet::follow::relay_path::MAX_HOSTS;
+use lentillift_fleet::follow::relay_path::Refused;
+use lentillift_fleet::follow::relay_path::RelayPath;
+use lentillift_fleet::follow::search::LeaveReason;
 use lentillift_fleet::follow::search::Next;
 use lentillift_fleet::follow::search::Search;
 use lentillift_fleet::follow::search::Urgency;
-use lentillift_fleet::follow::way::MOST;
-use lentillift_fleet::follow::way::Refused;
-use lentillift_fleet::follow::way::Way;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time in which membership finds that a host does not answer.
+/// Time in which membership detects that a host does not answer.
 const DETECTION: Duration = Duration::from_millis(1500);
 
 const TICK: Duration = Duration::from_millis(20);
@@ -27,7 +27,7 @@
 const BOUND: Duration = Duration::from_secs(3);
 const OPTIONS: Options = Options { bound: BOUND };
 
-/// What a host is busy with.
+/// Current activity of a host.
 #[derive(Debug, Clone)]
 enum Task {
     Search {
@@ -45,8 +45,8 @@
     Follow {
         host: usize,
         until: Option<Time>,
-        heard: Time,
-        seen: u64,
+        last_frame: Time,
+        seen_change: u64,
     },
 }
 
@@ -56,33 +56,34 @@
     me: Candidate,
     search: Search,
     task: Task,
-    way: Way,
+    relay_path: RelayPath,
     steady: bool,
     proved: Option<Time>,
     revision: u64,
-    /// Rises whenever followers are told something at once.
-    changed: u64,
+    /// Increases whenever followers are informed at once.
+    changes: u64,
 }
 
-/// A fleet, what is published, and who can't reach whom.
+/// A fleet, the published revision, and the faults of the network.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Time,
     nodes: Vec<Node>,
     revision: u64,
-    /// Group of hosts; hosts of different groups can't reach each other.
+    /// Group of each host; hosts of different groups can't reach each other.
     group: Vec<u8>,
-    /// Since when two hosts have not reached each other.
+    /// When two hosts were cut off from each other.
     cut_since: BTreeMap<(usize, usize), Time>,
-    /// Hosts that the service turns away.
+    /// Whether the service turns a host away.
     turned_away: Vec<bool>,
-    /// How many steps of a ring there were, summed over time.
+    /// Number of ticks in which some hosts followed each other in a ring.
     rings: u64,
-    /// How many origins were left since the start because what they told could not be relied on.
+    /// Number of times that an origin was left because it failed or its data could not be relied
+    /// on.
     failed: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(each: usize) -> Self {
         let names = DOMAINS.iter().flat_map(|domain| {
             (0..each).map(move |number| Candidate {
@@ -90,19 +91,20 @@
                 domain: (*domain).into(),
             })
         });
-        // Hosts start one after the other, so that each tells its followers at moments of its own.
-        let start = |place: usize| OPTIONS.heartbeat().mul_f64(place as f64 * 0.37 % 1.0);
-        let node = |(place, me): (usize, Candidate)| Node {
+        // Hosts start one after the other, so that each sends to its followers at different
+        // moments.
+        let start = |index: usize| OPTIONS.heartbeat().mul_f64(index as f64 * 0.37 % 1.0);
+        let node = |(index, me): (usize, Candidate)| Node {
             me,
             search: Search::default(),
             task: Task::Search {
-                at: Time::ZERO + start(place),
+                at: Time::ZERO + start(index),
             },
-            way: Way::default(),
+            relay_path: RelayPath::default(),
             steady: true,
             proved: None,
             revision: 0,
-            changed: 0,
+            changes: 0,
         };
         let nodes: Vec<Node> = names.enumerate().map(node).collect();
         let hosts = nodes.len();
@@ -122,7 +124,7 @@
         self.group[a] == self.group[b]
     }
 
-    /// Cuts groups of hosts off from each other, and has the service turn some away.
+    /// Cuts groups of hosts off from each other, and lets the service turn some away.
     fn cut(&mut self, groups: Vec<u8>, turned_away: Vec<bool>) {
         self.group = groups;
         self.turned_away = turned_away;
@@ -140,7 +142,7 @@
         self.revision += 1;
     }
 
-    fn place(&self, name: &id::Host) -> usize {
+    fn index_of(&self, name: &id::Host) -> usize {
         let found = self.nodes.iter().position(|node| node.me.host == *name);
         found.expect("an origin is one of the hosts")
     }
@@ -165,7 +167,7 @@
         let answering = |other: &usize| *other != node && !lost(*other);
         let others = (0..self.nodes.len()).filter(answering);
         let others: Vec<Candidate> = others.map(|other| self.nodes[other].me.clone()).collect();
-        follow::order(me, &others, FAN, self.nodes[node].search.round())
+        follow::rank_origins(me, &others, FANOUT, self.nodes[node].search.round())
     }
 
     fn step(&mut self, node: usize) {
@@ -178,9 +180,9 @@
             Task::Follow {
                 host,
                 until,
-                heard,
-                seen,
-            } => self.follow(node, host, until, heard, seen),
+                last_frame,
+                seen_change,
+            } => self.follow(node, host, until, last_frame, seen_change),
         }
     }
 
@@ -192,7 +194,7 @@
         let urgency = OPTIONS.urgency(age);
         state.task = match state.search.next(&order, urgency, now) {
             Next::Pause => Task::Search {
-                at: now + OPTIONS.rest(),
+                at: now + OPTIONS.retry_pause(),
             },
             Next::Try {
                 origin: Origin::Service,
@@ -201,19 +203,19 @@
             Next::Try { origin, until } => Task::Open {
                 origin,
                 until,
-                by: now + OPTIONS.open(),
+                by: now + OPTIONS.open_timeout(),
             },
         };
     }
 
-    fn leave(&mut self, node: usize, origin: &Origin, left: Left) {
+    fn leave(&mut self, node: usize, origin: &Origin, left: LeaveReason) {
         let now = self.now;
-        self.failed += u64::from(left == Left::Failed);
+        self.failed += u64::from(left == LeaveReason::Failed);
         let state = &mut self.nodes[node];
         state.search.left(origin, left, now);
-        if *origin == Origin::Service && left == Left::Failed {
+        if *origin == Origin::Service && left == LeaveReason::Failed {
             state.steady = false;
-            state.changed += 1;
+            state.changes += 1;
         }
         state.task = Task::Search { at: now };
     }
@@ -222,38 +224,38 @@
         let Origin::Host(name) = &origin else {
             return;
         };
-        let host = self.place(name);
+        let host = self.index_of(name);
         if self.reach(node, host) {
-            self.hear(node, host, until);
+            self.receive(node, host, until);
         } else if self.now >= by {
-            self.leave(node, &origin, Left::Failed);
+            self.leave(node, &origin, LeaveReason::Failed);
         }
     }
 
     fn read(&mut self, node: usize, until: Option<Time>) {
         if self.turned_away[node] {
-            return self.leave(node, &Origin::Service, Left::Failed);
+            return self.leave(node, &Origin::Service, LeaveReason::Failed);
         }
         let over = match until {
             Some(until) => self.now >= until,
             None => self.order(node).first() != Some(&Origin::Service),
         };
         if over {
-            return self.leave(node, &Origin::Service, Left::Again);
+            return self.leave(node, &Origin::Service, LeaveReason::Again);
         }
         let (now, revision) = (self.now, self.revision);
         let state = &mut self.nodes[node];
-        let way = Way::reader(&state.me.host);
+        let relay_path = RelayPath::reader(&state.me.host);
         let is_quiet = state.revision == revision;
-        // A watch returns with each change, and else after its time.
+        // A watch returns at each change, and otherwise after its time.
         let returned = state
             .proved
             .is_none_or(|proved| !is_quiet || now >= proved + OPTIONS.watch());
         let proved = if returned { Some(now) } else { state.proved };
-        let anew = OPTIONS.is_anew(state.proved, proved);
-        let news = !is_quiet || state.way != way || !state.steady || anew;
-        state.changed += u64::from(news);
-        state.way = way;
+        let is_newer = OPTIONS.is_newer_proof(state.proved, proved);
+        let has_update = !is_quiet || state.relay_path != relay_path || !state.steady || is_newer;
+        state.changes += u64::from(has_update);
+        state.relay_path = relay_path;
         state.steady = true;
         state.revision = revision;
         state.proved = proved;
@@ -263,63 +265,70 @@
         };
     }
 
-    fn follow(&mut self, node: usize, host: usize, until: Option<Time>, heard: Time, seen: u64) {
+    fn follow(
+        &mut self,
+        node: usize,
+        host: usize,
+        until: Option<Time>,
+        last_frame: Time,
+        seen_change: u64,
+    ) {
         let origin = Origin::Host(self.nodes[host].me.host.clone());
         let over = match until {
             Some(until) => self.now >= until,
             None => self.order(node).first() != Some(&origin),
         };
         if over {
-            return self.leave(node, &origin, Left::Again);
+            return self.leave(node, &origin, LeaveReason::Again);
         }
         let age = self.nodes[node].proved.map(|proved| self.now - proved);
-        if age.is_some_and(|age| age > OPTIONS.stale()) {
-            return self.leave(node, &origin, Left::Failed);
+        if age.is_some_and(|age| age > OPTIONS.max_age()) {
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
         if !self.reach(node, host) {
-            if self.now >= heard + OPTIONS.frame() {
-                self.leave(node, &origin, Left::Failed);
+            if self.now >= last_frame + OPTIONS.frame_timeout() {
+                self.leave(node, &origin, LeaveReason::Failed);
             }
             return;
         }
-        if self.nodes[host].changed != seen || self.now >= heard + OPTIONS.heartbeat() {
-            self.hear(node, host, until);
+        if self.nodes[host].changes != seen_change || self.now >= last_frame + OPTIONS.heartbeat() {
+            self.receive(node, host, until);
         }
     }
 
-    /// One message of `host` reaches `node`.
-    fn hear(&mut self, node: usize, host: usize, until: Option<Time>) {
-        let teller = &self.nodes[host];
-        let origin = Origin::Host(teller.me.host.clone());
-        let way = Way::through(teller.way.hosts(), &self.nodes[node].me.host);
-        let (revision, proved) = (teller.revision, teller.proved);
-        let (steady, seen) = (teller.steady, teller.changed);
-        let Ok(way) = way else {
-            return self.leave(node, &origin, Left::Failed);
+    /// One message of `host` arrives at `node`.
+    fn receive(&mut self, node: usize, host: usize, until: Option<Time>) {
+        let sender = &self.nodes[host];
+        let origin = Origin::Host(sender.me.host.clone());
+        let relay_path = RelayPath::extend(sender.relay_path.hosts(), &self.nodes[node].me.host);
+        let (revision, proved) = (sender.revision, sender.proved);
+        let (steady, seen_change) = (sender.steady, sender.changes);
+        let Ok(relay_path) = relay_path else {
+            return self.leave(node, &origin, LeaveReason::Failed);
         };
         let now = self.now;
         let state = &mut self.nodes[node];
-        let anew = OPTIONS.is_anew(state.proved, state.proved.max(proved));
-        let news = state.revision < revision || state.way != way || anew;
+        let is_newer = OPTIONS.is_newer_proof(state.proved, state.proved.max(proved));
+        let has_update = state.revision < revision || state.relay_path != relay_path || is_newer;
         state.revision = state.revision.max(revision);
         state.proved = state.proved.max(proved);
         if !steady {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
-        state.way = way;
+        state.relay_path = relay_path;
         state.steady = true;
-        state.changed += u64::from(news);
+        state.changes += u64::from(has_update);
         if state
             .proved
-            .is_none_or(|proved| now > proved + OPTIONS.stale())
+            .is_none_or(|proved| now > proved + OPTIONS.max_age())
         {
-            return self.leave(node, &origin, Left::Failed);
+            return self.leave(node, &origin, LeaveReason::Failed);
         }
         state.task = Task::Follow {
             host,
             until,
-            heard: now,
-            seen,
+            last_frame: now,
+            seen_change,
         };
     }
 
@@ -337,14 +346,14 @@
         })
     }
 
-    /// The largest age of any host's knowledge.
+    /// Largest age of any host's data.
     fn oldest(&self) -> Duration {
         let proved = self.nodes.iter().map(|node| node.proved);
         let first = proved.min().flatten().unwrap_or(Time::ZERO);
         self.now.saturating_sub(first)
     }
 
-    /// The largest age of what those know whom the service does not turn away.
+    /// Largest age of the data of hosts that the service does not turn away.
     fn oldest_that_can_read(&self) -> Duration {
         let nodes = self.nodes.iter().zip(&self.turned_away);
         let proved = nodes
@@ -354,7 +363,7 @@
         self.now.saturating_sub(first)
     }
 
-    /// Hosts that don't know what is published though they reach the service, or a host that does.
+    /// Hosts without the published revision although they reach the service, or a host that does.
     fn behind(&self) -> Vec<&str> {
         let hosts = 0..self.nodes.len();
         let can = |node: usize| {
@@ -368,65 +377,68 @@
     }
 }
 
-/// Two of four failure domains are cut off from the others, just when the service turns some hosts away.
-/// Hosts of the two take each other for origins, and callers there would be answered by an old
-/// configuration for seconds after it was replaced, and longer than the bound allows.
+/// Two of four failure domains are cut off from the others, just when the service turns some hosts
+/// away. Hosts of the two would choose each other as origins, and callers there would be answered
+/// by a replaced configuration for seconds, longer than the bound allows.
 #[test]
 fn cut_off_domains_do_not_follow_each_other_in_a_ring() {
     for turned_away in 0..16_usize {
-        let mut world = World::new(4);
-        world.run(BOUND * 2);
-        assert!(world.behind().is_empty());
+        let mut simulation = Simulation::new(4);
+        simulation.run(BOUND * 2);
+        assert!(simulation.behind().is_empty());
         let groups = (0..16).map(|node| u8::from(node >= 8)).collect();
         let turns_away = (0..16).map(|node| node == turned_away).collect();
-        world.cut(groups, turns_away);
-        world.run(BOUND);
+        simulation.cut(groups, turns_away);
+        simulation.run(BOUND);
         assert_eq!(
-            world.behind(),
+            simulation.behind(),
             Vec::<&str>::new(),
             "{turned_away} is turned away"
         );
     }
 }
 
-/// Knowledge that passes several hosts, each of which tells it with the next message that is due, is too
-/// old at the last ones. They would leave origins that are well, and ask others for the same.
+/// Data that is relayed by several hosts, each of which sends it with the next message that is due,
+/// is too old at the last ones. They would leave working origins and request the same data from
+/// others.
 #[test]
-fn no_origin_is_left_in_a_fleet_that_is_well() {
+fn no_origin_is_left_in_a_healthy_fleet() {
     for each in [3, 23, 40] {
-        let mut world = World::new(each);
-        world.run(BOUND);
-        let before = world.failed;
-        let end = world.now + BOUND;
+        let mut simulation = Simulation::new(each);
+        simulation.run(BOUND);
+        let before = simulation.failed;
+        let end = simulation.now + BOUND;
         let mut oldest = Duration::ZERO;
-        while world.now < end {
-            world.run(TICK);
-            oldest = oldest.max(world.oldest());
+        while simulation.now < end {
+            simulation.run(TICK);
+            oldest = oldest.max(simulation.oldest());
         }
-        assert_eq!(world.failed, before, "with {each} a failure domain");
-        // What is beyond that before an origin is left is for a slow service.
+        assert_eq!(simulation.failed, before, "with {each} a failure domain");
+        // The remaining time until an origin is left is for a slow service.
         let allowed = OPTIONS.watch() + OPTIONS.heartbeat();
         assert!(oldest < allowed, "{oldest:?} with {each} a failure domain");
     }
 }
 
-/// A change has just come, over a link that was busy with it, and nothing changes after that. If the service
-/// holds the next watch for its whole time, what the reader knows is too old before it returns; all hosts
-/// leave origins that are well at the same moment, and some read the service themselves.
+/// A change has just arrived, over a link that was busy with it, and nothing changes after that. If
+/// the service held the next watch for its whole time, the reader's data would be too old before
+/// the watch returns; all hosts would leave working origins at the same moment, and some would read
+/// the service themselves.
 #[test]
-fn knowledge_is_proved_again_in_time_after_a_change() {
+fn data_is_proved_current_in_time_after_a_change() {
     let ages = [0, 1, 5, 10].map(|parts| OPTIONS.slack() * parts / 10);
     for age in ages {
-        let asked = age + OPTIONS.pause();
-        let proved = asked + OPTIONS.next_watch(asked);
-        assert!(proved + OPTIONS.slack() <= OPTIONS.stale(), "{age:?}");
+        let requested = age + OPTIONS.pause();
+        let proved = requested + OPTIONS.next_watch(requested);
+        assert!(proved + OPTIONS.slack() <= OPTIONS.max_age(), "{age:?}");
     }
     assert_eq!(OPTIONS.next_watch(Duration::ZERO), OPTIONS.watch());
 }
 
-/// A burst of requests waits in the sockets of a host that stood still. Those that it answers before it has heard
-/// the news go by what was replaced; those that it holds while nobody can know more wait for nothing.
-macro_rules! admits {
+/// A burst of requests waits in the sockets of a host that was paused. Those answered before the
+/// host has received the updates would use replaced data; those held back while the service is
+/// unavailable would wait for nothing.
+macro_rules! admission_cases {
     ($($name:ident: $age:expr, $away:expr => $admission:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -437,16 +449,16 @@
     )*};
 }
 
-admits! {
-    fresh_knowledge_serves: 20, None => Admission::Serve;
-    knowledge_within_the_bound_serves: 3000, None => Admission::Serve;
-    a_host_that_stood_still_waits_for_news: 3001, None => Admission::Await(OPTIONS.frame());
-    old_knowledge_serves_while_the_service_is_away: 60_000, Some(800) => Admission::Serve;
-    old_knowledge_waits_once_the_service_is_back: 60_000, Some(3001) => Admission::Await(OPTIONS.frame());
+admission_cases! {
+    fresh_data_is_served: 20, None => Admission::Serve;
+    data_within_the_bound_is_served: 3000, None => Admission::Serve;
+    paused_host_waits_for_an_update: 3001, None => Admission::Await(OPTIONS.frame_timeout());
+    old_data_is_served_while_the_service_is_unavailable: 60_000, Some(800) => Admission::Serve;
+    old_data_waits_once_the_service_is_available_again: 60_000, Some(3001) => Admission::Await(OPTIONS.frame_timeout());
 }
 
-/// A host loses its origin when there is no time left for a vain try of another host.
-macro_rules! hurries {
+/// A host loses its origin when no time is left for a failed attempt at another host.
+macro_rules! urgency_cases {
     ($($name:ident: $age:expr => $urgency:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -455,23 +467,23 @@
     )*};
 }
 
-hurries! {
-    a_host_that_starts_asks_other_hosts_first: None => Urgency::Low;
-    there_is_time_for_one_vain_try: Some(OPTIONS.stale() - OPTIONS.open()) => Urgency::Low;
-    there_is_no_time_for_a_vain_try: Some(OPTIONS.stale() - OPTIONS.open() + TICK) => Urgency::High;
+urgency_cases! {
+    starting_host_tries_other_hosts_first: None => Urgency::Low;
+    time_is_left_for_one_failed_attempt: Some(OPTIONS.max_age() - OPTIONS.open_timeout()) => Urgency::Low;
+    no_time_is_left_for_a_failed_attempt: Some(OPTIONS.max_age() - OPTIONS.open_timeout() + TICK) => Urgency::High;
 }
 
-/// What is published goes from host to host over their links. When one host sent a copy to each of its
-/// failure domain, the last waited for as many copies as there are hosts: callers there were answered by a
-/// configuration that had been replaced seconds before. Metrics showed the links of these hosts full while
-/// those of all others were idle.
+/// Published data is forwarded from host to host. When one host sent a copy to each host of its
+/// failure domain, the last waited for as many copies as there are hosts: callers there were
+/// answered by a configuration that had been replaced seconds before. Metrics showed the links of
+/// the sending hosts full while all others were idle.
 #[test]
-fn nobody_is_followed_by_more_than_a_few() {
+fn number_of_followers_is_bounded() {
     for each in [1, 2, 3, 15, 23, 95] {
-        let world = World::new(each);
+        let simulation = Simulation::new(each);
         let mut followers: BTreeMap<Origin, usize> = BTreeMap::new();
-        for node in 0..world.nodes.len() {
-            let origin = world.order(node).first().cloned().expect("an origin");
+        for node in 0..simulation.nodes.len() {
+            let origin = simulation.order(node).first().cloned().expect("an origin");
             *followers.entry(origin).or_default() += 1;
         }
         let most = followers.values().max().copied();
@@ -481,93 +493,94 @@
 }
 
 #[test]
-fn a_way_over_oneself_or_beyond_reason_is_refused() {
+fn invalid_relay_paths_are_rejected() {
     let host = |number: usize| -> id::Host { format!("h{number}").as_str().into() };
-    let long: Vec<id::Host> = (0..MOST).map(host).collect();
-    let way = Way::through(&long[..2], &host(7)).expect("a way of three");
-    assert_eq!(way.hosts(), [host(0), host(1), host(7)]);
-    assert_eq!(Way::through(&long[..2], &host(1)), Err(Refused::Ring));
-    assert_eq!(Way::through(&long, &host(77)), Err(Refused::TooLong));
+    let long: Vec<id::Host> = (0..MAX_HOSTS).map(host).collect();
+    let relay_path = RelayPath::extend(&long[..2], &host(7)).expect("a path of three hosts");
+    assert_eq!(relay_path.hosts(), [host(0), host(1), host(7)]);
+    assert_eq!(RelayPath::extend(&long[..2], &host(1)), Err(Refused::Ring));
+    assert_eq!(RelayPath::extend(&long, &host(77)), Err(Refused::TooLong));
     assert_eq!(
-        Way::through(&[host(1), host(1)], &host(2)),
+        RelayPath::extend(&[host(1), host(1)], &host(2)),
         Err(Refused::Repeated)
     );
 }
 
-/// The hosts of a ranking's middle are cut off, on whom most others depend.
+/// Hosts in the middle of the ranking, on which most others depend, are cut off.
 #[test]
-fn hosts_below_those_that_are_cut_off_find_another_way() {
+fn followers_of_isolated_hosts_find_another_origin() {
     for seed in 0..4 {
-        let mut world = World::new(23);
-        world.run(BOUND * 2);
-        let hosts = world.nodes.len();
+        let mut simulation = Simulation::new(23);
+        simulation.run(BOUND * 2);
+        let hosts = simulation.nodes.len();
         let groups = (0..hosts).map(|node| u8::from(node % 4 == seed)).collect();
         let turned_away = (0..hosts).map(|node| node % 7 == seed).collect();
-        world.cut(groups, turned_away);
-        world.run(BOUND);
-        assert_eq!(world.behind(), Vec::<&str>::new(), "seed {seed}");
+        simulation.cut(groups, turned_away);
+        simulation.run(BOUND);
+        assert_eq!(simulation.behind(), Vec::<&str>::new(), "seed {seed}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// As below, with failure domains in which news passes several hosts.
+    /// As the next test, with failure domains in which updates pass several hosts.
     #[test]
-    fn whoever_can_know_does_within_the_bound_also_over_relays(
+    fn hosts_update_within_the_bound_over_relays(
         groups in prop::collection::vec(0u8..3, 56),
         turned_away in prop::collection::vec(prop::bool::weighted(0.25), 56),
     ) {
-        let mut world = World::new(14);
-        world.run(BOUND * 2);
-        world.cut(groups, turned_away);
-        world.run(BOUND);
-        prop_assert_eq!(world.behind(), Vec::<&str>::new());
+        let mut simulation = Simulation::new(14);
+        simulation.run(BOUND * 2);
+        simulation.cut(groups, turned_away);
+        simulation.run(BOUND);
+        prop_assert_eq!(simulation.behind(), Vec::<&str>::new());
     }
 }
 
 proptest! {
-    /// Hosts are cut off from each other in any way and turned away by the service in any combination,
-    /// twice in a row. Within the bound every host that can know what is published does, and rings last
-    /// no longer than it takes to hear of them.
+    /// Hosts are cut off from each other in any way and turned away by the service in any
+    /// combination, twice in a row. Within the bound every host that can obtain the published
+    /// revision has it, and rings last no longer than messages need to reveal them.
     #[test]
-    fn whoever_can_know_what_is_published_does_within_the_bound(
+    fn hosts_update_within_the_bound(
         first in prop::collection::vec((0u8..3, prop::bool::weighted(0.25)), 12),
         second in prop::collection::vec((0u8..3, prop::bool::weighted(0.25)), 12),
         between in 100u64..4000,
     ) {
-        let mut world = World::new(3);
-        world.run(BOUND * 2);
+        let mut simulation = Simulation::new(3);
+        simulation.run(BOUND * 2);
         for (cut, pause) in [(first, Duration::from_millis(between)), (second, BOUND)] {
             let (groups, turned_away) = cut.into_iter().unzip();
-            world.cut(groups, turned_away);
-            world.run(pause);
+            simulation.cut(groups, turned_away);
+            simulation.run(pause);
         }
-        prop_assert_eq!(world.behind(), Vec::<&str>::new());
-        // A tick shows a ring for as long as messages need to go round once.
-        prop_assert!(world.rings < 40, "rings in {} ticks", world.rings);
+        prop_assert_eq!(simulation.behind(), Vec::<&str>::new());
+        // A ring shows in as many ticks as messages need to go round once.
+        prop_assert!(simulation.rings < 40, "rings in {} ticks", simulation.rings);
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Hosts are cut off from each other in any way, and some are turned away by the service. One that reaches the
-    /// service tried hosts that are silent while its knowledge got older than the bound, and asked the service last.
+    /// Hosts are cut off from each other in any way, and some are turned away by the service. A
+    /// host that reaches the service tried silent hosts while its data got older than the bound,
+    /// and tried the service last.
     #[test]
-    fn whoever_reaches_the_service_asks_it_in_time(
+    fn hosts_that_reach_the_service_read_it_in_time(
         groups in prop::collection::vec(0u8..4, 28),
         turned_away in prop::collection::vec(prop::bool::weighted(0.4), 28),
     ) {
-        let mut world = World::new(7);
-        world.run(BOUND * 2);
-        world.cut(groups, turned_away);
-        let end = world.now + BOUND * 3;
-        while world.now < end {
-            world.run(TICK);
-            let oldest = world.oldest_that_can_read();
-            // An origin is left when its knowledge is too old, or with the next message.
-            let allowed = OPTIONS.stale() + OPTIONS.heartbeat();
+        let mut simulation = Simulation::new(7);
+        simulation.run(BOUND * 2);
+        simulation.cut(groups, turned_away);
+        let end = simulation.now + BOUND * 3;
+        while simulation.now < end {
+            simulation.run(TICK);
+            let oldest = simulation.oldest_that_can_read();
+            // An origin is left when its data is too old, or with the next message.
+            let allowed = OPTIONS.max_age() + OPTIONS.heartbeat();
             prop_assert!(oldest <= allowed, "{oldest:?}");
         }
     }
--- a/crates/lentillift-fleet/tests/guardian.rs
+++ b/crates/lentillift-fleet/tests/guardian.rs
@@ -1,11 +1,11 @@
-//! Which hosts are the guardians of a backend server.
+//! Choice of the guardians of a backend server.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::guardian;
-use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Options;
-use lentillift_fleet::tenure::Tenure;
+use lentillift_fleet::lease_manager::LeaseManager;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Options;
 use lentillift_fleet::view::Values;
 use lentillift_fleet::view::View;
 use lentillift_settings::placement::Placement;
@@ -54,14 +54,14 @@
 
 fn domains(roster: &Roster, backend: &str, domain: &str) -> BTreeSet<String> {
     let guardians = guardian::choose(backend, domain, roster);
-    assert_eq!(guardians.len(), guardian::MOST);
+    assert_eq!(guardians.len(), guardian::MAX_COUNT);
     let entries = guardians.iter().map(|host| &roster.hosts[host]);
     entries.map(|entry| entry.domain.to_string()).collect()
 }
 
-/// Two regions lose each other for minutes. A backend server whose guardians sit mostly in the
-/// other one would get no work from anybody, and its shard would be missing from answers that the
-/// region could have given whole.
+/// Two regions lose contact for minutes. A backend server with most of its guardians in the other
+/// region would get no work from anybody, and its shard would be missing from answers that the
+/// region could have given completely.
 #[test]
 fn guardians_are_in_the_region_of_their_backend_server() {
     let roster = roster(&DOMAINS);
@@ -70,11 +70,15 @@
         let chosen = domains(&roster, &format!("search-{number}"), domain);
         let at_home = |name: &String| DOMAINS.iter().any(|d| d.0 == name && d.1 == region);
         assert!(chosen.iter().all(at_home), "{domain}: {chosen:?}");
-        assert_eq!(chosen.len(), guardian::MOST, "one domain has two guardians");
+        assert_eq!(
+            chosen.len(),
+            guardian::MAX_COUNT,
+            "one domain has two guardians"
+        );
     }
 }
 
-/// A fleet of one region names none. Then all domains are at home together.
+/// A fleet of one region names no regions. Then all domains count as the same region.
 #[test]
 fn without_regions_all_domains_guard() {
     let roster = roster(&[]);
@@ -82,9 +86,10 @@
     assert_eq!(chosen.collect::<BTreeSet<_>>().len(), DOMAINS.len());
 }
 
-/// A host restarts. Others took its backend servers over, which it can't know yet, and all processes
-/// ask it first because it is alive again. Sent back without a name, the shards would be missing from
-/// answers until it holds the servers itself, three seconds at each restart.
+/// A host restarts. Others took over its backend servers, which it can't know yet, and all
+/// processes ask it first because it is alive again. If it refused without naming a host, the
+/// shards would be missing from answers until it holds the servers itself, three seconds at each
+/// restart.
 #[test]
 fn a_new_process_names_the_next_guardian() {
     let roster = roster(&[]);
@@ -107,8 +112,8 @@
     };
     let view = Arc::new(View::new(values, alive));
     let guardians = view.backends[&backend].guardians.clone();
-    let mut new = Tenure::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
+    let mut new = LeaseManager::new(Time::ZERO, guardians[0].clone(), 2, Options::default());
     new.set_view(Time::ZERO, view);
-    let named = new.hold(Time::ZERO, &backend);
-    assert_eq!(named, Hold::No(Some(guardians[1].clone())));
+    let named = new.lease_state(Time::ZERO, &backend);
+    assert_eq!(named, LeaseState::No(Some(guardians[1].clone())));
 }
--- a/crates/lentillift-fleet/tests/lease/model.rs
+++ b/crates/lentillift-fleet/tests/lease/model.rs
@@ -1,17 +1,19 @@
-//! A small world of guardians and candidates whose every course of events is walked through.
+//! Model checker for leases: explores every sequence of events among a few guardians and
+//! candidates.
 //!
-//! Claims stay in the network for good: a claim may be lost, late, doubled or overtaken, because it
-//! may be delivered never, at any later time, or again. A grant's way back is quick: one that is slow
-//! or lost gives its candidate less, since it counts from the sending, and blocks others as much.
-//! A candidate that may send always has the whole limit under way, each request for as long as its
-//! lease lasts: whoever breaks the limit with less also breaks it with this.
+//! Claims stay in the network for good: a claim may be lost, delayed, duplicated or reordered,
+//! because it may be delivered never, at any later time, or again. A grant's reply arrives at once:
+//! one that is slow or lost gives its candidate less, since the grant counts from the sending of
+//! the claim, and blocks others as much. A candidate that may send always has the whole limit in
+//! flight, each request for as long as its lease lasts: any sequence that exceeds the limit with
+//! fewer requests also exceeds it with these.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
 use lentillift_fleet::grant;
 use lentillift_fleet::grant::Claim;
+use lentillift_fleet::grant::GrantTable;
 use lentillift_fleet::grant::Holder;
-use lentillift_fleet::grant::Register;
 use lentillift_fleet::grant::Verdict;
 use lentillift_fleet::lease;
 use lentillift_fleet::lease::Lease;
@@ -24,41 +26,41 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Length of one step of time.
+/// Length of one time step.
 const STEP: Duration = Duration::from_secs(1);
 
-/// Names of the hosts; the first two want to send.
+/// Names of the hosts; the first two are candidates.
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Hosts that want to send.
+/// Number of hosts that claim the backend server.
 const CANDIDATES: usize = 2;
 
-/// Who may send.
+/// Rule that decides who may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Rule {
-    /// Whoever ranks first among the hosts that it holds to be alive.
+    /// The host that ranks first among the hosts that it considers alive.
     View,
-    /// Whoever has a lease.
+    /// The host that has a lease.
     Lease,
 }
 
-/// What may happen, and how often.
+/// Bounds of the exploration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Scope {
     pub(crate) rule: Rule,
-    /// Steps that a grant lasts.
+    /// Duration of a grant, in time steps.
     pub(crate) term: u32,
-    /// Steps of time.
+    /// Number of time steps.
     pub(crate) steps: u32,
-    /// Rounds of claims, by all candidates together.
+    /// Number of rounds of claims, by all candidates together.
     pub(crate) claims: u32,
-    /// Restarts of a host.
+    /// Number of restarts of a host.
     pub(crate) restarts: u32,
-    /// Hand-overs.
+    /// Number of hand-overs.
     pub(crate) hand_overs: u32,
-    /// Guardians by each revision of the host list, as bits.
+    /// Guardians under each revision of the host list, as indices into [`HOSTS`].
     pub(crate) lists: &'static [&'static [usize]],
-    /// Steps after which a candidate stops to ask guardians that left the list.
+    /// Time steps after which a candidate no longer sends claims to guardians that left the list.
     pub(crate) settle: u32,
 }
 
@@ -76,31 +78,31 @@
     quorum: Quorum,
     lease: Option<Lease>,
     ceded_by: Option<Holder>,
-    /// When the last request taken over from another holder is over.
-    inherited: Time,
-    /// When the last request of its own is over.
-    busy: Time,
+    /// When the last request taken over from another holder ends.
+    inherited_until: Time,
+    /// When the last request of its own ends.
+    busy_until: Time,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     now: Time,
-    registers: Vec<Register>,
+    grant_tables: Vec<GrantTable>,
     candidates: Vec<Candidate>,
     sent: BTreeSet<Sent>,
-    /// When requests of earlier incarnations are over.
+    /// When requests of earlier incarnations end.
     orphans: Vec<Time>,
     claims: u32,
     restarts: u32,
     hand_overs: u32,
 }
 
-/// What came of walking through a scope.
+/// Result of an exploration.
 #[derive(Debug)]
 pub(crate) struct Finding {
-    /// Different states that were seen.
+    /// Number of distinct states.
     pub(crate) states: usize,
-    /// The steps to the first state with more requests under way than the limit.
+    /// Steps to the first state with more requests in flight than the limit.
     pub(crate) violation: Option<Vec<String>>,
 }
 
@@ -126,16 +128,16 @@
     hasher.finish()
 }
 
-/// Walks through all that can happen within `scope`, nearest first.
+/// Explores all that can happen within `scope`, breadth first.
 pub(crate) fn explore(scope: &Scope) -> Finding {
     let first = start(scope);
-    // Parents by hash, so that a trace can be told without keeping whole states twice.
+    // Parents by hash, so that a trace can be built without keeping whole states twice.
     let mut seen: HashMap<u64, (u64, String)> = HashMap::new();
     seen.insert(hash(&first), (0, String::new()));
     let mut queue = VecDeque::from([first]);
     while let Some(state) = queue.pop_front() {
         let from = hash(&state);
-        if state.busy() > 1 {
+        if state.limits_in_flight() > 1 {
             let violation = Some(trace(&seen, from));
             let states = seen.len();
             return Finding { states, violation };
@@ -166,10 +168,10 @@
     steps
 }
 
-/// All guardians have run for longer than a term, and nobody holds anything.
+/// Initial state: all guardians have run for longer than a term, and nobody holds anything.
 fn start(scope: &Scope) -> State {
     let term = STEP * scope.term;
-    let register = Register::new(Time::ZERO, grant::Options { term });
+    let grants = GrantTable::new(Time::ZERO, grant::Options { term });
     let candidate = Candidate {
         incarnation: 1,
         attempts: 0,
@@ -177,12 +179,12 @@
         quorum: Quorum::new(guardians(scope, 0), 1),
         lease: None,
         ceded_by: None,
-        inherited: Time::ZERO,
-        busy: Time::ZERO,
+        inherited_until: Time::ZERO,
+        busy_until: Time::ZERO,
     };
     State {
         now: term,
-        registers: vec![register; HOSTS.len()],
+        grant_tables: vec![grants; HOSTS.len()],
         candidates: vec![candidate; CANDIDATES],
         sent: BTreeSet::new(),
         orphans: Vec::new(),
@@ -214,9 +216,12 @@
         next
     }
 
-    /// How many full limits are under way at the backend server.
-    fn busy(&self) -> usize {
-        let own = self.candidates.iter().map(|candidate| &candidate.busy);
+    /// Number of full limits in flight at the backend server.
+    fn limits_in_flight(&self) -> usize {
+        let own = self
+            .candidates
+            .iter()
+            .map(|candidate| &candidate.busy_until);
         let all = own.chain(&self.orphans);
         all.filter(|until| **until > self.now).count()
     }
@@ -228,15 +233,15 @@
             return;
         };
         let until = lease.until(&candidate.quorum);
-        if until > self.now && candidate.inherited <= self.now {
-            candidate.busy = candidate.busy.max(until);
+        if until > self.now && candidate.inherited_until <= self.now {
+            candidate.busy_until = candidate.busy_until.max(until);
         }
     }
 
-    /// Two views of who is alive differ, and each has its own process in front.
+    /// Two views of who is alive differ, and each ranks its own process first.
     fn sees_itself_first(&self, scope: &Scope, who: usize) -> Option<(String, Self)> {
         let mut next = self.clone();
-        next.candidates[who].busy = self.now + STEP * scope.term;
+        next.candidates[who].busy_until = self.now + STEP * scope.term;
         Some((format!("{} sends", HOSTS[who]), next))
     }
 
@@ -248,7 +253,7 @@
         next.now += STEP;
         let now = next.now;
         next.orphans.retain(|until| *until > now);
-        // A claim that is older can still stand in another's way and win nothing for its sender.
+        // An older claim can still block another candidate and gains its sender nothing.
         let oldest = now.saturating_sub(STEP * (scope.term + 1));
         next.sent.retain(|sent| match sent {
             Sent::Claim(_, _, at, _) => *at >= oldest,
@@ -256,14 +261,16 @@
         });
         for candidate in &mut next.candidates {
             let listed = |host: &id::Host| guardians(scope, candidate.list).contains(host);
-            candidate.quorum.settle(now, STEP * scope.settle, listed);
-            if candidate.busy <= now {
-                candidate.busy = Time::ZERO;
+            candidate
+                .quorum
+                .drop_departed(now, STEP * scope.settle, listed);
+            if candidate.busy_until <= now {
+                candidate.busy_until = Time::ZERO;
             }
-            if candidate.inherited <= now {
-                candidate.inherited = Time::ZERO;
+            if candidate.inherited_until <= now {
+                candidate.inherited_until = Time::ZERO;
             }
-            // One that has run out is given up, as the daemon does.
+            // A lease that has expired is given up, as the daemon does.
             let over = |lease: &Lease| !lease.is_new() && lease.until(&candidate.quorum) <= now;
             if candidate.lease.as_ref().is_some_and(over) {
                 candidate.lease = None;
@@ -311,7 +318,7 @@
                 candidate.attempts += 1;
                 candidate.lease = Some(Lease::new(candidate.attempts));
                 candidate.ceded_by = Some(holder.clone());
-                candidate.inherited = now + *left;
+                candidate.inherited_until = now + *left;
                 vec![(format!("{} gets the hand-over", HOSTS[to]), next)]
             }
         }
@@ -331,33 +338,33 @@
             incarnation: 1,
             attempt: claim.attempt,
         };
-        let verdict = lost.registers[to].claim(lost.now, &from, claim);
+        let verdict = lost.grant_tables[to].claim(lost.now, &from, claim);
         if to < CANDIDATES {
             lost.candidates[to].quorum.seal(claim.sealed);
         }
         if verdict != Verdict::Granted {
             return vec![(format!("{} refuses {}", HOSTS[to], HOSTS[who]), lost)];
         }
-        let mut heard = lost.clone();
-        let candidate = &mut heard.candidates[who];
+        let mut granted = lost.clone();
+        let candidate = &mut granted.candidates[who];
         if candidate.attempts == claim.attempt
             && candidate.incarnation == 1
             && let Some(lease) = &mut candidate.lease
         {
-            lease.granted(&name(to), at, &options(scope));
-            let valid = heard.now < lease.until(&candidate.quorum);
+            lease.record_grant(&name(to), at, &options(scope));
+            let valid = granted.now < lease.until(&candidate.quorum);
             if valid && lease.seals(&candidate.quorum, &options(scope)) {
                 candidate.quorum.seal(candidate.list as u64 + 1);
             }
         }
-        heard.send(who);
+        granted.send(who);
         let grants = format!(
             "{} grants {} (sent {})",
             HOSTS[to],
             HOSTS[who],
             at.as_secs()
         );
-        vec![(grants, heard)]
+        vec![(grants, granted)]
     }
 
     fn hand_over(&self, who: usize, drained: bool) -> Option<(String, Self)> {
@@ -376,32 +383,32 @@
             attempt: lease.attempt,
         };
         if drained {
-            candidate.busy = Time::ZERO;
+            candidate.busy_until = Time::ZERO;
         }
-        let over = candidate.busy.max(candidate.inherited);
+        let over = candidate.busy_until.max(candidate.inherited_until);
         let left = over.saturating_sub(now);
         next.sent.insert(Sent::HandOver(who, holder, left));
         Some((format!("{} hands over {left:?}", HOSTS[who]), next))
     }
 
-    /// A process loses all that it knew; what it sent goes on at the backend server.
+    /// A process loses its state; what it sent continues at the backend server.
     fn restart(&self, scope: &Scope, host: usize) -> Option<(String, Self)> {
         let mut next = self.clone();
         next.restarts = next.restarts.checked_sub(1)?;
         let term = STEP * scope.term;
-        next.registers[host] = Register::new(next.now, grant::Options { term });
+        next.grant_tables[host] = GrantTable::new(next.now, grant::Options { term });
         if host < CANDIDATES {
             let list = next.candidates[host].list;
             let candidate = &mut next.candidates[host];
             // Attempts of the new incarnation must differ from those of the one before.
             candidate.lease = None;
             candidate.ceded_by = None;
-            candidate.inherited = Time::ZERO;
+            candidate.inherited_until = Time::ZERO;
             candidate.attempts += 100;
             candidate.quorum = Quorum::new(guardians(scope, list), list as u64 + 1);
-            let busy = std::mem::take(&mut candidate.busy);
+            let busy_until = std::mem::take(&mut candidate.busy_until);
             next.orphans
-                .extend(Some(busy).filter(|until| *until > self.now));
+                .extend(Some(busy_until).filter(|until| *until > self.now));
         }
         Some((format!("{} restarts", HOSTS[host]), next))
     }
--- a/crates/lentillift-fleet/tests/swim.rs
+++ b/crates/lentillift-fleet/tests/swim.rs
@@ -33,16 +33,16 @@
     format!("h{number}")
 }
 
-/// Hosts in four failure domains, host `n` in domain `n % 4`.
+/// Simulated network of hosts in four failure domains, host `n` in domain `n % 4`.
 struct Net {
     now: Time,
     hosts: BTreeMap<usize, Swim<StdRng>>,
-    flying: BTreeMap<(Time, u64), (usize, Packet)>,
+    in_transit: BTreeMap<(Time, u64), (usize, Packet)>,
     next: u64,
     rng: StdRng,
     /// Share of datagrams that are lost, in hundredths.
     loss: u32,
-    /// Pairs of hosts that hear nothing of each other.
+    /// Pairs of hosts between which no datagram passes.
     cut: BTreeSet<(usize, usize)>,
     seeds: Vec<SocketAddr>,
     bytes: usize,
@@ -53,7 +53,7 @@
         let mut net = Self {
             now: SECOND,
             hosts: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             next: 0,
             rng: StdRng::seed_from_u64(seed),
             loss: 0,
@@ -104,7 +104,7 @@
             let lost = self.rng.random_range(0..100) < self.loss;
             if !lost && !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from)) {
                 self.next += 1;
-                self.flying
+                self.in_transit
                     .insert((self.now + DELAY, self.next), (to, packet));
             }
         }
@@ -114,7 +114,7 @@
         let end = self.now + time;
         while self.now < end {
             let tick = self.now + TICK;
-            while let Some(entry) = self.flying.first_entry()
+            while let Some(entry) = self.in_transit.first_entry()
                 && entry.key().0 <= tick
             {
                 let ((at, _), (to, packet)) = entry.remove_entry();
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Hosts that `number` holds for alive and at work.
+    /// Hosts that `number` considers alive and serving.
     fn serving(&self, number: usize) -> BTreeSet<String> {
         let serving = self.hosts[&number].serving();
         serving.map(|member| member.host.to_string()).collect()
@@ -169,12 +169,12 @@
     many_hosts_that_start_at_once(net: 90) {
         net.run(SECOND * 6);
         assert!(net.all_know(90));
-        // Each host's share of the common start, news of news included.
+        // Each host's share of the common start, forwarded updates included.
         assert!(net.bytes / 90 < 60_000, "{} bytes a host", net.bytes / 90);
     }
 
-    /// A fifth of all datagrams is lost. Everybody is still found, and nobody is held for dead.
-    losses_are_made_up_for(net: 9) {
+    /// A fifth of all datagrams is lost. All hosts are still found, and none is considered dead.
+    lost_datagrams_are_tolerated(net: 9) {
         net.loss = 20;
         net.run(SECOND * 8);
         for host in net.hosts.values() {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// All seeds are down when a host starts anew. It serves alone, and is found again by those that
-    /// remember it once one of them asks.
+    /// All seeds are down when a host restarts. It serves alone, and is found again by hosts that
+    /// remember it once one of them probes it.
     a_host_without_seeds_is_found_again(net: 9) {
         net.run(SECOND * 3);
         net.seeds = vec![address(901)];
@@ -195,9 +195,9 @@
         assert!(net.all_know(9));
     }
 
-    /// A host loses power. The others stop asking it, but still count it: it may be cut off from them
-    /// alone, and spend its part of what all may do.
-    a_dead_host_is_counted_but_not_asked(net: 9) {
+    /// A host loses power. The others stop probing it in the regular round, but still count it: it
+    /// may be cut off from them alone, and use its share of a common budget.
+    a_dead_host_is_counted_but_not_probed(net: 9) {
         net.run(SECOND * 3);
         net.hosts.remove(&4);
         net.run(SECOND * 12);
@@ -207,7 +207,7 @@
         }
     }
 
-    /// A host ends and says so. Nobody waits for it, and nobody counts it.
+    /// A host announces its end. No other host waits for it or counts it.
     a_host_that_ends_is_not_counted(net: 9) {
         net.run(SECOND * 3);
         let effects = net.hosts.get_mut(&4).map(Swim::leave).unwrap_or_default();
@@ -223,9 +223,9 @@
         }
     }
 
-    /// Two halves of the fleet are cut off from each other for twenty seconds. They find each other
-    /// again, though by then each half holds the other for dead.
-    halves_meet_again(net: 9) {
+    /// Two halves of the fleet are cut off from each other for twenty seconds. They reconnect,
+    /// though by then each half considers the other dead.
+    partitioned_halves_reconnect(net: 9) {
         net.run(SECOND * 3);
         for a in 0..4 {
             net.cut.extend((4..9).map(|b| (a, b)));
@@ -246,16 +246,16 @@
 
 fn order(number: usize, count: usize) -> Vec<Origin> {
     let others = (0..count).filter(|n| *n != number).map(candidate);
-    follow::order(
+    follow::rank_origins(
         &candidate(number),
         &others.collect::<Vec<_>>(),
-        follow::FAN,
+        follow::FANOUT,
         0,
     )
 }
 
-/// Hosts that know the same read the service at one place, whatever the size of the fleet, and each
-/// change crosses into a failure domain once.
+/// With the same membership at every host, one host reads the service, whatever the size of the
+/// fleet, and each change is sent once into each failure domain.
 #[test]
 fn one_host_reads_and_one_in_each_domain_follows_it() {
     for count in [9, 61, 760] {
@@ -275,8 +275,8 @@
     }
 }
 
-/// Whoever is followed is cut off from the service. Everybody's order leads to others and in the end
-/// to the service itself.
+/// The origin is cut off from the service. Every host's order contains other origins and in the end
+/// the service itself.
 #[test]
 fn every_order_reaches_the_service() {
     for number in 0..9 {
--- a/crates/lentillift-gateway/src/daemon.rs
+++ b/crates/lentillift-gateway/src/daemon.rs
@@ -20,7 +20,7 @@
 use lentillift_core::id;
 use lentillift_core::time::Clock;
 use lentillift_fleet::follow;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::member::Member;
 use lentillift_fleet::probe;
 use lentillift_fleet::swim::Swim;
@@ -242,7 +242,7 @@
         freshness: settings.freshness,
         origin_reachable: Cell::new(true),
         origin: RefCell::new(None),
-        path: RefCell::new(Way::default()),
+        path: RefCell::new(RelayPath::default()),
         roster: RefCell::new(Roster::default()),
         quarantine_changed: Notify::new(),
         delays: RefCell::new(Delays::default()),
@@ -409,7 +409,7 @@
                 seeds = tuning.seeds.len(),
                 "settings changed"
             );
-            host.swim.borrow_mut().reseed(tuning.seeds);
+            host.swim.borrow_mut().set_seeds(tuning.seeds);
             host.core.borrow_mut().options = tuning.options;
         }
     }
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -21,10 +21,10 @@
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Candidate;
 use lentillift_fleet::follow::Origin;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::follow::search;
 use lentillift_fleet::follow::search::Next;
 use lentillift_fleet::follow::search::Search;
-use lentillift_fleet::follow::way::Way;
 use lentillift_scatter::switch::Mechanism;
 use rand::Rng;
 use std::rc::Rc;
@@ -68,7 +68,7 @@
         let Next::Try { origin, until } = next else {
             let pause = host
                 .freshness
-                .rest()
+                .retry_pause()
                 .mul_f64(rand::rng().random_range(0.5..1.0));
             tokio::time::sleep(pause).await;
             continue;
@@ -80,7 +80,7 @@
         };
         host.origin.replace(None);
         let LeaveReason::Failed(error) = reason else {
-            search.left(&origin, search::Left::Again, host.now());
+            search.left(&origin, search::LeaveReason::Again, host.now());
             continue;
         };
         host.metrics
@@ -92,7 +92,7 @@
             age_ms = host.age().map_or(0, |age| age.as_millis() as u64),
             "lost"
         );
-        search.left(&origin, search::Left::Failed, host.now());
+        search.left(&origin, search::LeaveReason::Failed, host.now());
         if origin == Origin::Service {
             host.record_outage(Duration::ZERO);
             // Otherwise followers would detect this only by the age of its state, two thirds of the
@@ -121,7 +121,7 @@
         domain: host.domain.clone(),
     };
     let swim = host.swim.borrow();
-    let alive = swim.answering().filter(|m| swim.is_home(m));
+    let alive = swim.answering().filter(|m| swim.is_same_region(m));
     let others: Vec<Candidate> = alive
         .map(|m| Candidate {
             host: m.host.clone(),
@@ -130,11 +130,11 @@
         .collect();
     // Without relays, the first host of a failure domain serves all other hosts of it.
     let fan = if host.is_on(Mechanism::Relays) {
-        follow::FAN
+        follow::FANOUT
     } else {
         usize::MAX
     };
-    follow::order(&own, &others, fan, round)
+    follow::rank_origins(&own, &others, fan, round)
 }
 
 /// Whether to leave the origin: at the time `until`, or else once another one ranks first.
@@ -185,7 +185,7 @@
         }
         let is_bootstrapping = host.age().is_none() && host.now() < started + BOOTSTRAP_WAIT;
         // A long transfer is not the origin's fault.
-        let age_limit = host.freshness.stale() + size.took;
+        let age_limit = host.freshness.max_age() + size.took;
         if !is_bootstrapping && host.age().is_none_or(|age| age > age_limit) {
             return LeaveReason::Failed(stale_error(host, name));
         }
@@ -206,8 +206,8 @@
     S: Source,
 {
     let silence = match max_age {
-        Some(_) => host.freshness.frame(),
-        None => host.freshness.open(),
+        Some(_) => host.freshness.frame_timeout(),
+        None => host.freshness.open_timeout(),
     };
     if let (Some(max_age), Some(age)) = (max_age, host.age()) {
         let remaining = max_age.saturating_sub(age);
@@ -262,7 +262,7 @@
 {
     let fail = |cause: &dyn std::fmt::Display| Error::new(Step::Check, name, cause);
     let sender_path: Vec<id::Host> = frame.path.iter().map(|host| host.as_str().into()).collect();
-    let path = Way::through(&sender_path, &host.name).map_err(|refused| fail(&refused))?;
+    let path = RelayPath::extend(&sender_path, &host.name).map_err(|refused| fail(&refused))?;
     let recorded = check.record_answer(frame.answered_query);
     recorded.map_err(|unknown| fail(&unknown))?;
     let is_checked = host.is_on(Mechanism::Proofs);
@@ -308,8 +308,11 @@
     *request.method_mut() = http::Method::POST;
     let uri = format!("http://host{PATH}{after}");
     *request.uri_mut() = uri.parse().map_err(|_| fail("invalid path"))?;
-    let response =
-        tokio::time::timeout(host.freshness.open(), host.peers.stream(address, request)).await;
+    let response = tokio::time::timeout(
+        host.freshness.open_timeout(),
+        host.peers.stream(address, request),
+    )
+    .await;
     let response = response.map_err(|_| {
         // A connection can stay silent forever while a new one works.
         host.peers.drop_connection(address);
--- a/crates/lentillift-gateway/src/feed/freshness.rs
+++ b/crates/lentillift-gateway/src/feed/freshness.rs
@@ -6,10 +6,10 @@
 use futures_util::stream;
 use lentillift_core::id;
 use lentillift_core::time::Clock;
-use lentillift_fleet::follow::proof::Heard;
-use lentillift_fleet::follow::proof::Number;
-use lentillift_fleet::follow::proof::Questions;
-use lentillift_fleet::follow::proof::Unasked;
+use lentillift_fleet::follow::proof::PollNumber;
+use lentillift_fleet::follow::proof::Polls;
+use lentillift_fleet::follow::proof::Reaction;
+use lentillift_fleet::follow::proof::UnexpectedAnswer;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// Freshness queries to one origin. They end when this is dropped.
 #[derive(Debug)]
 pub(super) struct FreshnessCheck {
-    questions: Rc<RefCell<Questions>>,
+    questions: Rc<RefCell<Polls>>,
     /// Signals that a query is due immediately.
     query_due: watch::Sender<()>,
 }
@@ -28,7 +28,7 @@
     /// Starts the queries. The request itself counts as the first query; further ones follow in the
     /// returned body, at least one each `period`.
     pub(super) fn start(clock: Clock, origin: &id::Host, period: Duration) -> (Self, frame::Body) {
-        let questions = Rc::new(RefCell::new(Questions::start(clock.now())));
+        let questions = Rc::new(RefCell::new(Polls::start(clock.now())));
         let (query_due, is_due) = watch::channel(());
         let stream = QueryStream {
             clock,
@@ -55,9 +55,9 @@
     /// # Errors
     ///
     /// When that query is not open.
-    pub(super) fn record_answer(&self, number: Number) -> Result<(), Unasked> {
-        let action = self.questions.borrow_mut().hear(number)?;
-        if action == Heard::Ask {
+    pub(super) fn record_answer(&self, number: PollNumber) -> Result<(), UnexpectedAnswer> {
+        let action = self.questions.borrow_mut().receive(number)?;
+        if action == Reaction::Ask {
             self.query_due.send_replace(());
         }
         Ok(())
@@ -74,7 +74,7 @@
     clock: Clock,
     origin: id::Host,
     period: Duration,
-    questions: Rc<RefCell<Questions>>,
+    questions: Rc<RefCell<Polls>>,
     is_due: watch::Receiver<()>,
 }
 
@@ -86,7 +86,7 @@
             due = self.is_due.changed() => due.ok()?,
             () = tokio::time::sleep(self.period) => {}
         }
-        let number = self.questions.borrow_mut().ask(self.clock.now());
+        let number = self.questions.borrow_mut().send(self.clock.now());
         match frame::frame(&feed_wire::FreshnessQuery { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -14,7 +14,7 @@
 use lentillift_core::time::Time;
 use lentillift_fleet::follow::Origin;
 use lentillift_fleet::follow::proof;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_scatter::source::Update;
 use std::time::Duration;
 use tracing::info;
@@ -49,7 +49,7 @@
         let is_unchanged = matches!(&news, Update::Changes { items, .. } if items.is_empty());
         host.apply_update(Some(news), age);
         host.origin_reachable.set(true);
-        host.set_path(Way::reader(&host.name));
+        host.set_path(RelayPath::reader(&host.name));
         if !is_unchanged {
             tokio::time::sleep(host.freshness.pause()).await;
         }
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -14,7 +14,7 @@
 use lentillift_fleet::follow;
 use lentillift_fleet::follow::Admission;
 use lentillift_fleet::follow::Origin;
-use lentillift_fleet::follow::way::Way;
+use lentillift_fleet::follow::relay_path::RelayPath;
 use lentillift_fleet::swim::Swim;
 use lentillift_scatter::catalog::Catalog;
 use lentillift_scatter::catalog::Change;
@@ -102,7 +102,7 @@
     pub origin: RefCell<Option<Origin>>,
     /// Hosts through which the local state came. Kept while another origin is selected, so that
     /// followers of this host are not selected as its origin.
-    pub path: RefCell<Way>,
+    pub path: RefCell<RelayPath>,
     /// Hosts among which fleet-wide limits are divided.
     pub roster: RefCell<Roster>,
     /// Signals that quarantine accounts have changed and should be sent to other hosts.
@@ -171,7 +171,7 @@
             let before = self.verified_at.get();
             let latest = before.map_or(at, |old| old.max(at));
             self.verified_at.set(Some(latest));
-            if self.freshness.is_anew(before, Some(latest)) {
+            if self.freshness.is_newer_proof(before, Some(latest)) {
                 self.changed.send_modify(|count| *count += 1);
             }
         }
@@ -201,7 +201,7 @@
 
     /// Records the path of the local state, and notifies followers at once if it changes: a
     /// follower may find itself on it, which is a cycle.
-    pub fn set_path(&self, path: Way) {
+    pub fn set_path(&self, path: RelayPath) {
         if *self.path.borrow() != path {
             self.path.replace(path);
             self.changed.send_modify(|count| *count += 1);
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -21,7 +21,7 @@
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
 use lentillift_core::error::Step;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::State;
 use rand::seq::IteratorRandom;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
 {
     let mut has_joined = false;
     loop {
-        let latest = host.core.borrow().quarantine.accounts(1, host.now());
+        let latest = host.core.borrow().quarantine.shared_records(1, host.now());
         let period = period(&latest, has_joined);
         tokio::select! {
             () = host.quarantine_changed.notified() => push(&host).await,
@@ -84,7 +84,7 @@
 }
 
 /// Interval until the next exchange, given the latest account.
-pub fn period(latest: &[Account], has_joined: bool) -> Duration {
+pub fn period(latest: &[SharedRecord], has_joined: bool) -> Duration {
     let is_recent = latest.iter().any(|account| account.age < RECENT);
     match is_recent || !has_joined {
         true => SHORT_PERIOD,
@@ -99,7 +99,7 @@
     S: Source,
 {
     tokio::time::sleep(BATCH_DELAY).await;
-    let mut changed = host.core.borrow_mut().quarantine.news(host.now());
+    let mut changed = host.core.borrow_mut().quarantine.take_updates(host.now());
     changed.iter().for_each(|account| log_state(host, account));
     // Decided accounts go first, suspects last.
     changed.sort_by_key(|account| account.state == State::Suspect);
@@ -121,7 +121,7 @@
         .core
         .borrow()
         .quarantine
-        .accounts(MAX_ACCOUNTS, host.now());
+        .shared_records(MAX_ACCOUNTS, host.now());
     if has_joined && held.is_empty() {
         return true;
     }
@@ -143,7 +143,7 @@
 }
 
 /// Sends accounts to a host and merges those that it returns; returns whether it answered.
-async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<Account>) -> bool
+async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<SharedRecord>) -> bool
 where
     D: Dialect,
     S: Source,
@@ -168,7 +168,7 @@
 async fn call<D, S>(
     host: &Host<D, S>,
     peer: SocketAddr,
-    accounts: &[Account],
+    accounts: &[SharedRecord],
 ) -> Result<wire::Message>
 where
     D: Dialect,
@@ -190,7 +190,7 @@
 
 /// Selects the recent accounts, or all accounts if none is recent. Older ones have reached nearly
 /// all hosts and are sent only while nothing is recent.
-pub fn accounts_to_send(mut held: Vec<Account>) -> Vec<Account> {
+pub fn accounts_to_send(mut held: Vec<SharedRecord>) -> Vec<SharedRecord> {
     if held.iter().any(|account| account.age < RECENT) {
         held.retain(|account| account.age < RECENT);
     }
@@ -213,7 +213,7 @@
         .core
         .borrow()
         .quarantine
-        .accounts(MAX_ACCOUNTS, host.now());
+        .shared_records(MAX_ACCOUNTS, host.now());
     merge_accounts(host, "host", &message.accounts);
     let reply = match message.accounts.is_empty() {
         true => held,
@@ -224,7 +224,7 @@
 
 /// Merges accounts of another host; what is new is forwarded.
 pub(crate) fn merge_accounts<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
-    let accounts: Vec<Account> = accounts.iter().map(Account::from).collect();
+    let accounts: Vec<SharedRecord> = accounts.iter().map(SharedRecord::from).collect();
     let now = host.clock.now();
     let new = host.core.borrow_mut().merge_quarantine(&accounts, now);
     if new > 0 {
@@ -257,7 +257,7 @@
         .core
         .borrow()
         .quarantine
-        .accounts(usize::MAX, host.clock.now());
+        .shared_records(usize::MAX, host.clock.now());
     let lines = accounts.iter().map(|account| {
         let left = time_to_canary(account.state).map(|left| format!(" left_s={}", left.as_secs()));
         format!(
@@ -276,7 +276,7 @@
 pub fn lift<D, S>(host: &Host<D, S>, fingerprint: &str) -> bool {
     let now = host.clock.now();
     let mut core = host.core.borrow_mut();
-    let held = core.quarantine.accounts(usize::MAX, now);
+    let held = core.quarantine.shared_records(usize::MAX, now);
     let mut fingerprints = held.iter().map(|account| account.fingerprint);
     let found = fingerprints.find(|known| known.to_string() == fingerprint);
     let is_lifted = found.is_some_and(|known| core.quarantine.lift(known, now));
@@ -291,7 +291,7 @@
 }
 
 /// Logs and counts a change of an account.
-fn log_state<D, S>(host: &Host<D, S>, account: &Account) {
+fn log_state<D, S>(host: &Host<D, S>, account: &SharedRecord) {
     let state = state_name(account.state);
     host.metrics.count(metric::QUARANTINE_CHANGES, state);
     info!(
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -18,7 +18,7 @@
 use futures_util::FutureExt;
 use futures_util::StreamExt;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_scatter::leg::Target;
 use lentillift_scatter::outcome::Next;
 use lentillift_scatter::outcome::Outcome;
@@ -321,16 +321,16 @@
 
     /// Wakes the quarantine gossip if the request changed an account.
     fn announce_quarantine(&self) {
-        if self.host.core.borrow().quarantine.has_news() {
+        if self.host.core.borrow().quarantine.has_updates() {
             self.host.quarantine_changed.notify_one();
         }
     }
 
     /// The quarantine account of this request, if backend servers ended while they ran it.
-    pub fn account(&self) -> Option<Account> {
+    pub fn account(&self) -> Option<SharedRecord> {
         let core = self.host.core.borrow();
         core.quarantine
-            .account(self.message.fingerprint, self.host.now())
+            .shared_record(self.message.fingerprint, self.host.now())
     }
 
     /// Appends the records of a host's message to those of its earlier messages.
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -317,7 +317,7 @@
             members: 0,
         },
         body: Body::Push,
-        news: Vec::new(),
+        updates: Vec::new(),
     };
     to.swim.borrow_mut().packet(to.now(), packet);
     to.update_hosts();
--- a/crates/lentillift-gateway/tests/fatal.rs
+++ b/crates/lentillift-gateway/tests/fatal.rs
@@ -204,7 +204,7 @@
         let path = format!("/all/{FATAL}");
         fleet.ask(0, &path).await;
         let is_known = |host: &SharedHost| {
-            let accounts = host.core.borrow().quarantine.accounts(1, host.now());
+            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
             let states = accounts.iter().map(|account| account.state);
             { states }.any(|state| matches!(state, State::Quarantined { .. }))
         };
@@ -285,7 +285,7 @@
             200
         );
         let is_clear = |host: &SharedHost| {
-            let accounts = host.core.borrow().quarantine.accounts(1, host.now());
+            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
             accounts
                 .iter()
                 .all(|account| account.state == State::Cleared)
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -2,9 +2,9 @@
 
 use lentillift_core::fingerprint::Fingerprint;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
 use lentillift_fleet::quarantine::End;
 use lentillift_fleet::quarantine::Options;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::Table;
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_gateway::quarantine::FANOUT;
@@ -35,7 +35,7 @@
     rng: StdRng,
     hosts: Vec<Table>,
     /// Messages in transit, by arrival time.
-    in_transit: BTreeMap<(Time, u64), (usize, Vec<Account>)>,
+    in_transit: BTreeMap<(Time, u64), (usize, Vec<SharedRecord>)>,
     sent: u64,
     /// Fraction of messages that are lost.
     loss: f64,
@@ -59,7 +59,7 @@
         host < self.cut.0 && now < self.cut.1
     }
 
-    fn send(&mut self, from: usize, to: usize, accounts: Vec<Account>, now: Time) {
+    fn send(&mut self, from: usize, to: usize, accounts: Vec<SharedRecord>, now: Time) {
         self.sent += 1;
         let is_lost = self.rng.random_bool(self.loss);
         if is_lost || self.is_cut(from, now) || self.is_cut(to, now) {
@@ -76,23 +76,23 @@
     }
 
     fn push(&mut self, host: usize, now: Time) {
-        if !self.hosts[host].has_news() {
+        if !self.hosts[host].has_updates() {
             return;
         }
-        let news = self.hosts[host].news(now);
+        let news = self.hosts[host].take_updates(now);
         for other in self.others(host, FANOUT) {
             self.send(host, other, news.clone(), now);
         }
     }
 
     fn exchange(&mut self, host: usize, now: Time) {
-        let accounts = accounts_to_send(self.hosts[host].accounts(usize::MAX, now));
+        let accounts = accounts_to_send(self.hosts[host].shared_records(usize::MAX, now));
         if accounts.is_empty() {
             return;
         }
         for other in self.others(host, 1) {
             self.send(host, other, accounts.clone(), now);
-            let answer = accounts_to_send(self.hosts[other].accounts(usize::MAX, now));
+            let answer = accounts_to_send(self.hosts[other].shared_records(usize::MAX, now));
             self.send(other, host, answer, now);
         }
     }
@@ -116,12 +116,12 @@
                 .filter(|message| message.key().0 <= now)
             {
                 let (host, accounts) = message.remove();
-                self.hosts[host].hear(&Options::default(), &accounts, now);
+                self.hosts[host].merge(&Options::default(), &accounts, now);
             }
             for host in 0..self.hosts.len() {
                 self.push(host, now);
                 let offset = (now + MS * host as u32).as_millis();
-                let latest = self.hosts[host].accounts(1, now);
+                let latest = self.hosts[host].shared_records(1, now);
                 if offset.is_multiple_of(period(&latest, true).as_millis()) {
                     self.exchange(host, now);
                 }
@@ -139,7 +139,7 @@
                 process,
                 canary: process > 0,
             };
-            host.ended(&Options::default(), fingerprint, end, NOON);
+            host.record_end(&Options::default(), fingerprint, end, NOON);
         }
         fingerprint
     }
--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -39,19 +39,19 @@
     }
 }
 
-/// See [`value::Mark`].
+/// See [`value::Stamp`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Mark {
     revision: u64,
     sum: u64,
 }
 
-/// See [`packet::News`].
+/// See [`packet::Update`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum News {
-    /// See [`packet::News::Member`].
+    /// See [`packet::Update::Member`].
     Member(Member),
-    /// See [`packet::News::Value`].
+    /// See [`packet::Update::Value`].
     Value(String, Mark),
 }
 
@@ -137,34 +137,34 @@
     }
 }
 
-impl From<value::Mark> for Mark {
-    fn from(mark: value::Mark) -> Self {
+impl From<value::Stamp> for Mark {
+    fn from(mark: value::Stamp) -> Self {
         Self {
             revision: mark.revision,
-            sum: mark.sum,
+            sum: mark.checksum,
         }
     }
 }
 
-impl From<Mark> for value::Mark {
+impl From<Mark> for value::Stamp {
     fn from(mark: Mark) -> Self {
         Self {
             revision: mark.revision,
-            sum: mark.sum,
+            checksum: mark.sum,
         }
     }
 }
 
-impl From<packet::News> for News {
-    fn from(news: packet::News) -> Self {
+impl From<packet::Update> for News {
+    fn from(news: packet::Update) -> Self {
         match news {
-            packet::News::Member(member) => Self::Member(member.into()),
-            packet::News::Value(key, mark) => Self::Value(key.to_string(), mark.into()),
+            packet::Update::Member(member) => Self::Member(member.into()),
+            packet::Update::Value(key, mark) => Self::Value(key.to_string(), mark.into()),
         }
     }
 }
 
-impl TryFrom<News> for packet::News {
+impl TryFrom<News> for packet::Update {
     type Error = String;
 
     fn try_from(news: News) -> Result<Self, Self::Error> {
@@ -214,7 +214,7 @@
             values: packet.digest.values,
             members: packet.digest.members,
             body: packet.body.into(),
-            news: packet.news.into_iter().map(News::from).collect(),
+            news: packet.updates.into_iter().map(News::from).collect(),
         }
     }
 }
@@ -223,7 +223,7 @@
     type Error = String;
 
     fn try_from(packet: Packet) -> Result<Self, Self::Error> {
-        let news = packet.news.into_iter().map(packet::News::try_from);
+        let news = packet.news.into_iter().map(packet::Update::try_from);
         Ok(Self {
             from: packet.from.try_into()?,
             digest: packet::Digest {
@@ -231,7 +231,7 @@
                 members: packet.members,
             },
             body: packet.body.into(),
-            news: news.collect::<Result<_, _>>()?,
+            updates: news.collect::<Result<_, _>>()?,
         })
     }
 }
@@ -240,7 +240,10 @@
     fn from(message: sync::Message) -> Self {
         match message {
             sync::Message::Ask => Self::Ask,
-            sync::Message::Told { members, marks } => {
+            sync::Message::Told {
+                members,
+                stamps: marks,
+            } => {
                 let marks = marks.into_iter();
                 let marks = marks.map(|(key, mark)| (key.to_string(), mark.into()));
                 Self::Told(
@@ -248,12 +251,14 @@
                     marks.collect(),
                 )
             }
-            sync::Message::Pull { key, mark, offset } => {
-                Self::Pull(key.to_string(), mark.into(), offset)
-            }
+            sync::Message::Pull {
+                key,
+                stamp: mark,
+                offset,
+            } => Self::Pull(key.to_string(), mark.into(), offset),
             sync::Message::Chunk {
                 key,
-                mark,
+                stamp: mark,
                 version,
                 offset,
                 total,
@@ -281,17 +286,17 @@
                 let marks = marks.into_iter();
                 Self::Told {
                     members: members.collect::<Result<_, _>>()?,
-                    marks: marks.map(|(key, mark)| (key.into(), mark.into())).collect(),
+                    stamps: marks.map(|(key, mark)| (key.into(), mark.into())).collect(),
                 }
             }
             Sync::Pull(key, mark, offset) => Self::Pull {
                 key: key.into(),
-                mark: mark.into(),
+                stamp: mark.into(),
                 offset,
             },
             Sync::Chunk(chunk) => Self::Chunk {
                 key: chunk.key.into(),
-                mark: chunk.mark.into(),
+                stamp: chunk.mark.into(),
                 version: chunk.version,
                 offset: chunk.offset,
                 total: chunk.total,
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -5,9 +5,9 @@
 use lentillift_fleet::member::Member;
 use lentillift_fleet::packet::Body;
 use lentillift_fleet::packet::Digest;
-use lentillift_fleet::packet::NEWS_BYTES;
-use lentillift_fleet::packet::News;
 use lentillift_fleet::packet::Packet;
+use lentillift_fleet::packet::UPDATES_BYTES;
+use lentillift_fleet::packet::Update;
 use lentillift_fleet::view::Health;
 use lentillift_fleet::view::Stage;
 use lentillift_node::datagram;
@@ -106,9 +106,9 @@
         health: Health::Alive,
     };
     let mut news = Vec::new();
-    let mut room = NEWS_BYTES;
+    let mut room = UPDATES_BYTES;
     for number in 0.. {
-        let one = News::Member(member(format!("{number}")));
+        let one = Update::Member(member(format!("{number}")));
         let Some(left) = room.checked_sub(one.bytes()) else {
             break;
         };
@@ -122,7 +122,7 @@
             members: 2,
         },
         body: Body::Ping(1),
-        news,
+        updates: news,
     };
     let bytes = datagram::encode(packet.clone()).expect("a datagram");
     assert_eq!(datagram::decode(&bytes), Ok(packet));
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -4,10 +4,10 @@
 use lentillift_fleet::member::Member;
 use lentillift_fleet::packet::Body;
 use lentillift_fleet::packet::Digest;
-use lentillift_fleet::packet::News;
 use lentillift_fleet::packet::Packet;
+use lentillift_fleet::packet::Update;
 use lentillift_fleet::sync;
-use lentillift_fleet::value::Mark;
+use lentillift_fleet::value::Stamp;
 use lentillift_fleet::view::Health;
 use lentillift_fleet::view::Stage;
 use lentillift_node::datagram;
@@ -48,14 +48,17 @@
         )
 }
 
-fn mark() -> impl Strategy<Value = Mark> {
-    any::<(u64, u64)>().prop_map(|(revision, sum)| Mark { revision, sum })
+fn mark() -> impl Strategy<Value = Stamp> {
+    any::<(u64, u64)>().prop_map(|(revision, sum)| Stamp {
+        revision,
+        checksum: sum,
+    })
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn news() -> impl Strategy<Value = Update> {
     prop_oneof![
-        member().prop_map(News::Member),
-        ("[a-z/]{1,30}", mark()).prop_map(|(key, mark)| News::Value(key.into(), mark)),
+        member().prop_map(Update::Member),
+        ("[a-z/]{1,30}", mark()).prop_map(|(key, mark)| Update::Value(key.into(), mark)),
     ]
 }
 
@@ -85,7 +88,7 @@
             from,
             digest,
             body,
-            news,
+            updates: news,
         })
 }
 
@@ -96,11 +99,15 @@
         Just(sync::Message::Ask),
         (members, marks).prop_map(|(members, marks)| sync::Message::Told {
             members,
-            marks: marks.into_iter().map(|(k, m)| (k.into(), m)).collect(),
+            stamps: marks.into_iter().map(|(k, m)| (k.into(), m)).collect(),
         }),
         ("[a-z/]{1,30}", mark(), any::<u32>()).prop_map(|(key, mark, offset)| {
             let key = key.into();
-            sync::Message::Pull { key, mark, offset }
+            sync::Message::Pull {
+                key,
+                stamp: mark,
+                offset,
+            }
         }),
         (
             "[a-z/]{1,30}",
@@ -111,7 +118,7 @@
             .prop_map(|(key, mark, (version, offset, total), bytes)| {
                 sync::Message::Chunk {
                     key: key.into(),
-                    mark,
+                    stamp: mark,
                     version,
                     offset,
                     total,
--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -17,8 +17,8 @@
 use lentillift_core::sub::Report;
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Transfer;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Transfer;
 use lentillift_fleet::view::View;
 use lentillift_policy::cost::Costs;
 use lentillift_policy::count::Counts;
@@ -68,7 +68,7 @@
         /// The backend server.
         backend: id::Backend,
         /// What the lease allows now.
-        hold: Hold,
+        hold: LeaseState,
     },
     /// This process acquired a lease on a backend server that it had none on.
     Acquired {
@@ -137,7 +137,7 @@
     policy: Policy,
     /// What the leases of this process allow; no work may be sent to a backend server without an
     /// entry.
-    holds: HashMap<id::Backend, Hold>,
+    holds: HashMap<id::Backend, LeaseState>,
     /// Latest end of the requests sent to each backend server.
     last_ends: HashMap<id::Backend, Time>,
     // INVARIANT: Holds no server that this process has no lease on, except those with a request in
--- a/crates/lentillift-owner/src/core/lease.rs
+++ b/crates/lentillift-owner/src/core/lease.rs
@@ -7,8 +7,8 @@
 use lentillift_core::id;
 use lentillift_core::sub::Failure;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Transfer;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Transfer;
 use std::time::Duration;
 
 /// State of a backend server that a hand-over passes to the next holder.
@@ -27,7 +27,9 @@
     /// may be sent now.
     pub(super) fn lease_end(&self, now: Time, backend: &id::Backend) -> Option<Time> {
         match self.holds.get(backend) {
-            Some(Hold::Until(until)) if now < *until && self.view.fresh(now) => Some(*until),
+            Some(LeaseState::Until(until)) if now < *until && self.view.is_fresh(now) => {
+                Some(*until)
+            }
             _ => None,
         }
     }
@@ -35,13 +37,18 @@
     /// Whether sub-requests for `backend` may be queued here.
     pub fn may_queue(&self, backend: &id::Backend) -> bool {
         let hold = self.holds.get(backend);
-        matches!(hold, Some(Hold::Until(_) | Hold::Pending))
+        matches!(hold, Some(LeaseState::Until(_) | LeaseState::Pending))
     }
 
     /// Applies a change of the lease on `backend`; when it is lost, waiting sub-requests are
     /// forwarded to the new holder.
-    pub(super) fn set_hold(&mut self, now: Time, backend: &id::Backend, hold: Hold) -> Vec<Effect> {
-        let lost = matches!(hold, Hold::No(_));
+    pub(super) fn set_hold(
+        &mut self,
+        now: Time,
+        backend: &id::Backend,
+        hold: LeaseState,
+    ) -> Vec<Effect> {
+        let lost = matches!(hold, LeaseState::No(_));
         self.holds.insert(backend.clone(), hold);
         if !lost {
             return self.process_queue(now, backend);
@@ -61,7 +68,7 @@
     /// is unknown.
     fn forward(&mut self, now: Time, mut waiting: Waiting) -> Effect {
         let left = waiting.deadline.saturating_sub(now);
-        let Some(Hold::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
+        let Some(LeaseState::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
             return self.refuse(now, waiting, Failure::NotOwner);
         };
         let to = holder.clone();
--- a/crates/lentillift-scatter/src/core.rs
+++ b/crates/lentillift-scatter/src/core.rs
@@ -418,20 +418,20 @@
                 process_start_ms,
                 ..
             } = &server.entry;
-            let process = quarantine::process(id, *process_start_ms);
+            let process = quarantine::process_id(id, *process_start_ms);
             let end = End { process, canary };
             let options = &self.options.quarantine;
-            self.quarantine.ended(options, known, end, now);
+            self.quarantine.record_end(options, known, end, now);
         }
     }
 
     /// Merges another host's quarantine records; returns how many were new.
-    pub fn merge_quarantine(&mut self, accounts: &[quarantine::Account], now: Time) -> usize {
+    pub fn merge_quarantine(&mut self, accounts: &[quarantine::SharedRecord], now: Time) -> usize {
         if !self.options.switches.is_on(Mechanism::Quarantine) {
             return 0;
         }
         self.quarantine
-            .hear(&self.options.quarantine, accounts, now)
+            .merge(&self.options.quarantine, accounts, now)
     }
 
     /// Drops quarantine records that have expired.
@@ -443,7 +443,7 @@
     pub fn server_answered(&mut self, fingerprint: Option<Fingerprint>, now: Time) {
         if let Some(known) = self.tracked(fingerprint) {
             self.quarantine
-                .answered(&self.options.quarantine, known, now);
+                .record_reply(&self.options.quarantine, known, now);
         }
     }
 
--- a/crates/lentillift-scatter/tests/bystanders.rs
+++ b/crates/lentillift-scatter/tests/bystanders.rs
@@ -11,7 +11,7 @@
 use common::server;
 use common::view;
 use lentillift_core::time::Time;
-use lentillift_fleet::quarantine::Account;
+use lentillift_fleet::quarantine::SharedRecord;
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_scatter::caller::Caller;
 use lentillift_scatter::config::Kind;
@@ -83,7 +83,7 @@
     },
     Gossip {
         host: usize,
-        accounts: Vec<Account>,
+        accounts: Vec<SharedRecord>,
     },
 }
 
@@ -345,10 +345,10 @@
     }
 
     fn gossip(&mut self, from: usize) {
-        if !self.hosts[from].quarantine.has_news() {
+        if !self.hosts[from].quarantine.has_updates() {
             return;
         }
-        let accounts = self.hosts[from].quarantine.news(self.now);
+        let accounts = self.hosts[from].quarantine.take_updates(self.now);
         for host in (0..HOSTS).filter(|host| *host != from) {
             let transit = self.rng.random_range(MS * 5..MS * 30);
             let accounts = accounts.clone();
--- a/crates/lentilliftd/src/lease.rs
+++ b/crates/lentilliftd/src/lease.rs
@@ -9,9 +9,9 @@
 use lentillift_fleet::grant::Attempt;
 use lentillift_fleet::grant::Claim;
 use lentillift_fleet::grant::Verdict;
-use lentillift_fleet::tenure::Effect;
-use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Transfer;
+use lentillift_fleet::lease_manager::Effect;
+use lentillift_fleet::lease_manager::LeaseState;
+use lentillift_fleet::lease_manager::Transfer;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
 use lentillift_owner::core::Event;
@@ -77,14 +77,15 @@
                 from,
                 sent,
                 verdicts,
-            } => self.tenure.granted(now, &from, sent, verdicts),
+            } => self.tenure.handle_verdicts(now, &from, sent, verdicts),
             Input::Release { from, released } => {
                 let Peer { host, incarnation } = from;
-                self.tenure.released(now, &host, incarnation, &released);
+                self.tenure
+                    .handle_release(now, &host, incarnation, &released);
                 Vec::new()
             }
-            Input::Cede(transfer) => self.tenure.handed(now, transfer),
-            Input::Ceded { by, backend } => self.tenure.confirmed(now, &backend, &by),
+            Input::Cede(transfer) => self.tenure.accept_transfer(now, transfer),
+            Input::Ceded { by, backend } => self.tenure.handle_confirmation(now, &backend, &by),
             Input::Returned { from, sub } => {
                 let message = Message::Result {
                     desk: sub.work.component(),
@@ -125,9 +126,9 @@
         from: &Peer,
         claims: Vec<Claim>,
     ) -> (Vec<(id::Backend, Attempt, Verdict)>, Vec<Effect>) {
-        let (verdicts, effects) = self
-            .tenure
-            .claimed(now, &from.host, from.incarnation, &claims);
+        let (verdicts, effects) =
+            self.tenure
+                .handle_claims(now, &from.host, from.incarnation, &claims);
         let answers = claims.into_iter().zip(verdicts);
         let answers = answers.map(|(claim, verdict)| (claim.backend, claim.attempt, verdict));
         (answers.collect(), effects)
@@ -144,7 +145,12 @@
                     let local_peer = self.local_peer.clone();
                     let (verdicts, effects) = self.decide_claims(now, &local_peer, claims);
                     queue.extend(effects);
-                    queue.extend(self.tenure.granted(now, &local_peer.host, sent, verdicts));
+                    queue.extend(self.tenure.handle_verdicts(
+                        now,
+                        &local_peer.host,
+                        sent,
+                        verdicts,
+                    ));
                 }
                 Effect::Claim { to, sent, claims } => {
                     let count = claims.len() as u64;
@@ -154,8 +160,12 @@
                 }
                 Effect::Release { to, released } if to == self.local_peer.host => {
                     let local_peer = self.local_peer.clone();
-                    self.tenure
-                        .released(now, &local_peer.host, local_peer.incarnation, &released);
+                    self.tenure.handle_release(
+                        now,
+                        &local_peer.host,
+                        local_peer.incarnation,
+                        &released,
+                    );
                 }
                 Effect::Release { to, released } => {
                     self.peers.send(&to, Message::Release(released)).await;
@@ -194,8 +204,8 @@
 
     /// Passes the current hold on `backend` to the owner.
     async fn update_hold(&mut self, now: Time, backend: id::Backend) {
-        let hold = self.tenure.hold(now, &backend);
-        if matches!(hold, Hold::No(_)) && self.has_state_for(&backend) {
+        let hold = self.tenure.lease_state(now, &backend);
+        if matches!(hold, LeaseState::No(_)) && self.has_state_for(&backend) {
             let detail = format!("no longer held: {hold:?}");
             self.board.event("lease", &backend, detail);
         }
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -13,8 +13,8 @@
 use lentillift_core::sub::Sub;
 use lentillift_core::time::Clock;
 use lentillift_core::time::Time;
-use lentillift_fleet::tenure::Hold;
-use lentillift_fleet::tenure::Tenure;
+use lentillift_fleet::lease_manager::LeaseManager;
+use lentillift_fleet::lease_manager::LeaseState;
 use lentillift_fleet::view::View;
 use lentillift_node::link::Peer;
 use lentillift_node::message::Message;
@@ -77,7 +77,7 @@
 pub struct Task {
     pub(crate) local_peer: Peer,
     pub(crate) owner: Owner,
-    pub(crate) tenure: Tenure,
+    pub(crate) tenure: LeaseManager,
     /// Completed once all backend servers are handed over; set while the process shuts down.
     pub(crate) handover_done: Option<oneshot::Sender<()>>,
     view: Arc<View>,
@@ -97,11 +97,11 @@
         board: Board,
         inputs: mpsc::Sender<Input>,
     ) -> Self {
-        let options = lentillift_fleet::tenure::Options::default();
+        let options = lentillift_fleet::lease_manager::Options::default();
         board.set_settled(false);
         Self {
             owner: Owner::new(),
-            tenure: Tenure::new(
+            tenure: LeaseManager::new(
                 clock.now(),
                 local_peer.host.clone(),
                 local_peer.incarnation,
@@ -173,8 +173,8 @@
     async fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
         match input {
-            Input::Sub { from, sub } => match self.tenure.hold(now, &sub.backend) {
-                Hold::No(Some(holder)) => {
+            Input::Sub { from, sub } => match self.tenure.lease_state(now, &sub.backend) {
+                LeaseState::No(Some(holder)) => {
                     self.peers
                         .send(&holder, Message::Forward { from, sub })
                         .await;
