--- a/crates/lentillift-operator/benches/board.rs
+++ b/crates/lentillift-operator/benches/board.rs
@@ -1,4 +1,4 @@
-//! Cost of what tasks add to the board on their way.
+//! Cost of the calls by which tasks record metrics on the board, and of rendering them.
 
 use criterion::Criterion;
 use lentillift_core::id;
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-/// Backend servers that a process owns when six processes share Nafisa's.
+/// Backend servers per process when six processes share those of the `nafisa` example.
 const BACKENDS: usize = 30;
 
 fn add(c: &mut Criterion) {
--- a/crates/lentillift-operator/src/board.rs
+++ b/crates/lentillift-operator/src/board.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a process leave what operators may want to know.
+//! State of a process that its tasks write and the operators' interface reads.
 
 use crate::event::Note;
 use crate::event::Page;
@@ -20,28 +20,29 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// What a process tells its operators.
+/// Everything that the operators' interface shows.
 #[derive(Debug, Default)]
 struct State {
     metrics: Metrics,
     timeline: Timeline,
     trend: Trend,
     ready: bool,
-    /// Whether backend servers that are to be owned here may still be without owners.
-    unsettled: bool,
+    /// Whether leases on backend servers assigned to this process are still to be acquired.
+    leases_pending: bool,
     sections: BTreeMap<&'static str, (Time, Value)>,
 }
 
 impl State {
     fn is_ready(&self) -> bool {
-        self.ready && !self.unsettled
+        self.ready && !self.leases_pending
     }
 }
 
-/// Where the tasks of a process leave what operators may want to know.
+/// Metrics, status and time line of a process, shared by its tasks.
 ///
-/// Tasks add to it on their way; each call holds the lock for a look-up and an addition. What
-/// takes longer, such as a section of the status, is put together before the lock is taken.
+/// Tasks write to it from their request paths; each such call holds the lock for a look-up and an
+/// addition. What takes longer, such as serialising a section of the status, is done before the
+/// lock is taken.
 #[derive(Debug, Clone)]
 pub struct Board {
     host: id::Host,
@@ -51,7 +52,7 @@
 }
 
 impl Board {
-    /// Starts with nothing to tell, and not ready.
+    /// Creates an empty board whose process is not ready.
     pub fn new(host: id::Host, incarnation: id::Incarnation, clock: Clock) -> Self {
         Self {
             host,
@@ -71,52 +72,52 @@
         self.lock().metrics.set(name, labels, value);
     }
 
-    /// Notes a latency.
+    /// Records a latency in a summary.
     pub fn observe(&self, name: &'static str, labels: &[(&str, &str)], latency: Duration) {
         let now = self.clock.now();
         self.lock().metrics.observe(now, name, labels, latency);
     }
 
-    /// Notes the answer to a query, which covered `share` of the data.
+    /// Records the answer to a query in the trend; `share` of the data, 0 to 1, was covered.
     pub fn answered(&self, service: &id::Service, latency: Duration, share: f64) {
-        let now = wall();
+        let now = unix_time();
         self.lock().trend.answer(now, service, latency, share);
     }
 
-    /// Notes the refusal of a query to a service that is configured.
+    /// Records the refusal of a query to a configured service in the trend.
     pub fn refused(&self, service: &id::Service) {
-        self.lock().trend.refusal(wall(), service);
+        self.lock().trend.refusal(unix_time(), service);
     }
 
-    /// Appends to the time line.
+    /// Appends an event without further fields to the time line.
     pub fn event(&self, kind: &str, subject: &str, detail: impl Into<String>) {
         self.note(Note::new(kind, subject, detail));
     }
 
-    /// Appends a note to the time line.
+    /// Appends a note to the time line, with the current time.
     pub fn note(&self, note: Note) {
         let now = self.clock.now();
-        self.lock().timeline.push(now, wall(), note);
+        self.lock().timeline.push(now, unix_time(), note);
     }
 
     /// Sets whether the balancer may send callers here; a change goes to the time line.
     pub fn set_ready(&self, ready: bool) {
-        self.change(|state| state.ready = ready);
+        self.update(|state| state.ready = ready);
     }
 
-    /// Sets whether the leases of this process are in order; without that it is not ready either.
+    /// Sets whether this process holds the leases that it needs; until then it is not ready.
     pub fn set_settled(&self, settled: bool) {
-        self.change(|state| state.unsettled = !settled);
+        self.update(|state| state.leases_pending = !settled);
     }
 
-    /// Changes the state and notes whether that changed readiness.
-    fn change(&self, change: impl FnOnce(&mut State)) {
+    /// Updates the state, and adds an event to the time line if readiness changed.
+    fn update(&self, change: impl FnOnce(&mut State)) {
         let mut state = self.lock();
-        let was = state.is_ready();
+        let was_ready = state.is_ready();
         change(&mut state);
         let ready = state.is_ready();
         drop(state);
-        if was != ready {
+        if was_ready != ready {
             let detail = match ready {
                 true => "serves callers",
                 false => "takes no more callers",
@@ -130,7 +131,7 @@
         self.lock().is_ready()
     }
 
-    /// Sets a section of what `/status` returns; each task has its own.
+    /// Replaces a section of what `/status` returns; each task writes its own section.
     pub fn set_section<T>(&self, name: &'static str, section: &T)
     where
         T: Serialize,
@@ -140,7 +141,7 @@
         self.lock().sections.insert(name, (now, section));
     }
 
-    /// Everything in numbers, as Prometheus text.
+    /// All metrics in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -149,7 +150,7 @@
         state.metrics.text(now)
     }
 
-    /// How the process stands.
+    /// The status of the process, as `/status` returns it.
     pub fn status(&self) -> Status {
         let now = self.clock.now();
         let state = self.lock();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// The events from number `since` on.
+    /// The events whose number is `since` or higher.
     pub fn timeline(&self, since: u64) -> Page {
         Page {
             host: self.host.clone(),
@@ -185,8 +186,8 @@
     }
 }
 
-/// Time since 1970.
-fn wall() -> Duration {
+/// Time since the Unix epoch.
+fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/lentillift-operator/src/event.rs
+++ b/crates/lentillift-operator/src/event.rs
@@ -1,4 +1,4 @@
-//! The time line of what happened in this process.
+//! The time line: notable state changes in this process, for operators.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -8,39 +8,39 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Events that are kept at most; the oldest of the most frequent kind make room.
-const MOST: usize = 4096;
+/// Maximum number of events kept; beyond it, the oldest of the most frequent kind is evicted.
+const MAX_EVENTS: usize = 4096;
 
-/// A change of state worth telling an operator.
+/// A state change that operators can see on the time line.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// What kind of change it is.
+    /// Kind of the change, such as `ready` or `lease`.
     pub kind: String,
-    /// What it is about: a backend server, a host, a key.
+    /// The object that changed: a backend server, a host, a key.
     pub subject: String,
-    /// What changed, in words.
+    /// The change in words.
     pub detail: String,
-    /// The service, if it concerns one.
+    /// The service involved, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<id::Service>,
-    /// The backend server, if it concerns one.
+    /// The backend server involved, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backend: Option<id::Backend>,
-    /// The request's id, if it concerns one.
+    /// Id of the request involved, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
     /// What was sent to another process or received from one, such as `config 7`.
     ///
-    /// An event with [`Note::from`] comes after the event of that host with the same token.
+    /// An event with [`Note::from`] happened after the event of that host with the same token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token: Option<String>,
-    /// The host that sent what `token` names.
+    /// The host that sent what `token` names; none if this process sent it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<id::Host>,
 }
 
 impl Note {
-    /// Makes a note of a change that concerns `subject`.
+    /// Creates a note without the optional fields.
     pub fn new(kind: &str, subject: &str, detail: impl Into<String>) -> Self {
         Self {
             kind: kind.to_owned(),
@@ -50,25 +50,25 @@
         }
     }
 
-    /// Adds the service that it concerns.
+    /// Sets the service involved.
     pub fn service(mut self, service: &id::Service) -> Self {
         self.service = Some(service.clone());
         self
     }
 
-    /// Adds the backend server that it concerns.
+    /// Sets the backend server involved.
     pub fn backend(mut self, backend: &id::Backend) -> Self {
         self.backend = Some(backend.clone());
         self
     }
 
-    /// Adds the request that it concerns.
+    /// Sets the id of the request involved.
     pub fn request(mut self, request: impl ToString) -> Self {
         self.request = Some(request.to_string());
         self
     }
 
-    /// Adds what was handed over, and by whom if it was received.
+    /// Sets what was sent, or what was received and the host that it came `from`.
     pub fn token(mut self, token: impl Into<String>, from: Option<&id::Host>) -> Self {
         self.token = Some(token.into());
         self.from = from.cloned();
@@ -76,62 +76,62 @@
     }
 }
 
-/// A note with its place and time.
+/// A note with its number and times.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// Number within the process; later events have higher numbers.
     pub number: u64,
-    /// Time since the process started, in microseconds; never goes back.
+    /// Time since the process started, in microseconds; monotonic.
     pub at_us: u64,
-    /// Time since 1970 by the host's clock, in milliseconds; differs between hosts.
+    /// Time since the Unix epoch by the host's clock, in milliseconds; clocks of hosts differ.
     pub wall_ms: u64,
-    /// What happened.
+    /// The change.
     #[serde(flatten)]
     pub note: Note,
 }
 
-/// The time line of one process.
+/// The latest events of one process, oldest first.
 #[derive(Debug, Default)]
 pub struct Timeline {
     events: VecDeque<Event>,
-    kinds: BTreeMap<String, usize>,
-    next: u64,
+    kind_counts: BTreeMap<String, usize>,
+    last_number: u64,
 }
 
 impl Timeline {
-    /// Appends an event; `wall` is the time since 1970.
+    /// Appends an event; `wall` is the time since the Unix epoch.
     pub fn push(&mut self, now: Time, wall: Duration, note: Note) {
-        if self.events.len() == MOST {
-            self.make_room();
+        if self.events.len() == MAX_EVENTS {
+            self.evict();
         }
-        self.next += 1;
-        *self.kinds.entry(note.kind.clone()).or_default() += 1;
+        self.last_number += 1;
+        *self.kind_counts.entry(note.kind.clone()).or_default() += 1;
         self.events.push_back(Event {
-            number: self.next,
+            number: self.last_number,
             at_us: now.as_micros() as u64,
             wall_ms: wall.as_millis() as u64,
             note,
         });
     }
 
-    /// Drops the oldest event of the kind that has most.
+    /// Removes the oldest event of the most frequent kind.
     ///
-    /// In an outage one kind may come a thousand times a second. If the oldest went whatever its
-    /// kind, the change that began the outage would be gone when an operator looks.
-    fn make_room(&mut self) {
-        let most = self.kinds.iter_mut().max_by_key(|(_, count)| **count);
-        let Some((kind, count)) = most else {
+    /// In an outage, one kind of event may occur a thousand times a second. If the oldest event of
+    /// all were removed, the change that started the outage would be gone when an operator looks.
+    fn evict(&mut self) {
+        let most_frequent = self.kind_counts.iter_mut().max_by_key(|(_, count)| **count);
+        let Some((kind, count)) = most_frequent else {
             return;
         };
         *count -= 1;
-        let at = self
+        let index = self
             .events
             .iter()
             .position(|event| event.note.kind == *kind);
-        self.events.remove(at.unwrap_or_default());
+        self.events.remove(index.unwrap_or_default());
     }
 
-    /// The events from number `since` on.
+    /// The events whose number is `since` or higher, oldest first.
     pub fn since(&self, since: u64) -> impl Iterator<Item = &Event> {
         self.events
             .iter()
@@ -139,12 +139,12 @@
     }
 }
 
-/// What `/timeline` returns.
+/// The response of `/timeline`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The host.
+    /// The host whose time line this is.
     pub host: id::Host,
-    /// The incarnation of its process.
+    /// Incarnation of the process on that host.
     pub incarnation: id::Incarnation,
     /// The events, oldest first.
     pub events: Vec<Event>,
--- a/crates/lentillift-operator/src/histogram.rs
+++ b/crates/lentillift-operator/src/histogram.rs
@@ -1,13 +1,14 @@
-//! Times counted by fixed bounds, so that those of many processes can be added.
+//! Histograms of times with fixed bucket bounds, so that those of many processes can be added.
 //!
-//! A quantile of the whole fleet can't be had from the quantiles of its processes; from counts with
-//! the same bounds it can.
+//! A quantile over the whole fleet can't be computed from the quantiles of its processes, but it
+//! can from counts with the same bounds.
 
 use serde::Deserialize;
 use serde::Serialize;
 use std::time::Duration;
 
-/// Upper bounds: from what a call within a host takes to the longest time that callers wait.
+/// Upper bounds of the buckets, from the time of a call within a host to the longest time that
+/// callers wait.
 pub const BOUNDS: [Duration; 16] = [
     Duration::from_millis(1),
     Duration::from_millis(2),
@@ -27,29 +28,29 @@
     Duration::from_millis(10_000),
 ];
 
-/// Times counted by [`BOUNDS`].
+/// A histogram of times with the bucket bounds [`BOUNDS`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Histogram {
-    /// How many times were at most each bound and above the one before.
+    /// For each bound, the number of times at most as long and longer than the bound before it.
     counts: [u64; BOUNDS.len()],
-    /// How many were above all bounds.
+    /// Number of times longer than all bounds.
     above: u64,
     /// Sum of all times, in microseconds.
     sum_us: u64,
 }
 
 impl Histogram {
-    /// Notes a time.
+    /// Records a time.
     pub fn record(&mut self, time: Duration) {
         match BOUNDS.iter().position(|bound| time <= *bound) {
-            Some(place) => self.counts[place] += 1,
+            Some(bucket) => self.counts[bucket] += 1,
             None => self.above += 1,
         }
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.sum_us = self.sum_us.saturating_add(micros);
     }
 
-    /// Adds what another process counted.
+    /// Adds the counts of another process.
     pub fn add(&mut self, other: &Self) {
         for (count, more) in self.counts.iter_mut().zip(other.counts) {
             *count += more;
@@ -58,17 +59,17 @@
         self.sum_us = self.sum_us.saturating_add(other.sum_us);
     }
 
-    /// How many times were noted.
+    /// Number of recorded times.
     pub fn count(&self) -> u64 {
         self.counts.iter().sum::<u64>() + self.above
     }
 
-    /// Sum of all times.
+    /// Sum of all recorded times.
     pub fn sum(&self) -> Duration {
         Duration::from_micros(self.sum_us)
     }
 
-    /// Each bound, with how many times were at most as long.
+    /// Each bound, with the number of times at most as long.
     pub fn cumulative(&self) -> impl Iterator<Item = (Duration, u64)> {
         let sums = self.counts.iter().scan(0, |sum, count| {
             *sum += count;
@@ -77,8 +78,8 @@
         BOUNDS.into_iter().zip(sums)
     }
 
-    /// The time that the share `quantile` of all stays below, taken to be spread evenly between two
-    /// bounds; none if nothing was noted, or if it is above all bounds.
+    /// The time below which the share `quantile` (0 to 1) of all times lies, interpolated linearly
+    /// between two bounds; none if nothing was recorded or the quantile is above all bounds.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         let rank = self.count() as f64 * quantile;
         let mut lower = (Duration::ZERO, 0);
--- a/crates/lentillift-operator/src/lib.rs
+++ b/crates/lentillift-operator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface to operators: health, readiness, counters, status and the time line.
+//! The HTTP interface for operators: health, readiness, metrics, status and the time line.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-operator/src/metric.rs
+++ b/crates/lentillift-operator/src/metric.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latencies, shown as Prometheus text.
+//! Counters, gauges, summaries and histograms, rendered in the Prometheus text format.
 
 use crate::catalog;
 use crate::histogram::Histogram;
@@ -8,19 +8,19 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Series of one name at most.
+/// Maximum number of series of one name; samples of further series are counted as dropped.
 ///
-/// Labels are names of services, classes and backend servers. If one ever came from what callers
-/// send, a hostile caller could fill the memory; what is beyond this is counted as dropped.
-const MOST_SERIES: usize = 10_000;
+/// Labels are names of services, classes and backend servers. If a label ever came from what
+/// callers send, a hostile caller could otherwise fill the memory.
+const MAX_SERIES: usize = 10_000;
 
-/// Quantiles that are shown.
+/// Quantiles that a summary shows.
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 
-/// All series of one name, by their labels as they are shown.
+/// All series of one name, by their rendered labels.
 type Series<T> = BTreeMap<String, T>;
 
-/// What kind of series a name stands for.
+/// All series of one name, by metric type.
 #[derive(Debug)]
 enum Family {
     Counter(Series<u64>),
@@ -29,23 +29,25 @@
     Histogram(Series<Histogram>),
 }
 
-/// All series of a process.
+/// All metrics of a process.
+///
+/// The first call with a name sets its metric type; calls of another type are ignored.
 #[derive(Debug, Default)]
 pub struct Metrics {
     families: BTreeMap<&'static str, Family>,
     dropped: u64,
-    // Labels are put together here, so that a known series costs no allocation.
-    labels: String,
+    // Buffer for rendered labels, so that a sample of a known series costs no allocation.
+    labels_buffer: String,
 }
 
 impl Metrics {
     /// Adds to a counter.
     pub fn add(&mut self, name: &'static str, labels: &[(&str, &str)], count: u64) {
-        render(&mut self.labels, labels);
+        render(&mut self.labels_buffer, labels);
         let family = self.families.entry(name);
         let family = family.or_insert_with(|| Family::Counter(Series::new()));
         if let Family::Counter(series) = family {
-            match find(series, &self.labels, || Some(0)) {
+            match find_or_insert(series, &self.labels_buffer, || Some(0)) {
                 Some(counter) => *counter += count,
                 None => self.dropped += 1,
             }
@@ -54,18 +56,18 @@
 
     /// Sets a gauge.
     pub fn set(&mut self, name: &'static str, labels: &[(&str, &str)], value: f64) {
-        render(&mut self.labels, labels);
+        render(&mut self.labels_buffer, labels);
         let family = self.families.entry(name);
         let family = family.or_insert_with(|| Family::Gauge(Series::new()));
         if let Family::Gauge(series) = family {
-            match find(series, &self.labels, || Some(0.0)) {
+            match find_or_insert(series, &self.labels_buffer, || Some(0.0)) {
                 Some(gauge) => *gauge = value,
                 None => self.dropped += 1,
             }
         }
     }
 
-    /// Notes a latency.
+    /// Records a latency in a summary.
     pub fn observe(
         &mut self,
         now: Time,
@@ -73,31 +75,31 @@
         labels: &[(&str, &str)],
         latency: Duration,
     ) {
-        render(&mut self.labels, labels);
+        render(&mut self.labels_buffer, labels);
         let family = self.families.entry(name);
         let family = family.or_insert_with(|| Family::Summary(Series::new()));
         if let Family::Summary(series) = family {
-            match find(series, &self.labels, || Latency::new(now)) {
+            match find_or_insert(series, &self.labels_buffer, || Latency::new(now)) {
                 Some(summary) => summary.record(now, latency),
                 None => self.dropped += 1,
             }
         }
     }
 
-    /// Notes a time in a histogram, whose counts can be added over processes.
+    /// Records a time in a histogram, whose counts can be added over processes.
     pub fn record(&mut self, name: &'static str, labels: &[(&str, &str)], time: Duration) {
-        render(&mut self.labels, labels);
+        render(&mut self.labels_buffer, labels);
         let family = self.families.entry(name);
         let family = family.or_insert_with(|| Family::Histogram(Series::new()));
         if let Family::Histogram(series) = family {
-            match find(series, &self.labels, || Some(Histogram::default())) {
+            match find_or_insert(series, &self.labels_buffer, || Some(Histogram::default())) {
                 Some(histogram) => histogram.record(time),
                 None => self.dropped += 1,
             }
         }
     }
 
-    /// Everything, as Prometheus text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn text(&self, now: Time) -> String {
         let mut text = String::new();
         for (name, family) in &self.families {
@@ -105,8 +107,8 @@
                 let _ = writeln!(text, "# HELP {name} {help}");
             }
             match family {
-                Family::Counter(series) => plain(&mut text, name, "counter", series),
-                Family::Gauge(series) => plain(&mut text, name, "gauge", series),
+                Family::Counter(series) => scalars(&mut text, name, "counter", series),
+                Family::Gauge(series) => scalars(&mut text, name, "gauge", series),
                 Family::Summary(series) => summaries(&mut text, now, name, series),
                 Family::Histogram(series) => histograms(&mut text, name, series),
             }
@@ -121,13 +123,13 @@
     }
 }
 
-/// The series with these labels, made if there is room for one more.
-fn find<'a, T, F>(series: &'a mut Series<T>, labels: &str, make: F) -> Option<&'a mut T>
+/// Returns the series with these labels, and creates it unless the name has [`MAX_SERIES`].
+fn find_or_insert<'a, T, F>(series: &'a mut Series<T>, labels: &str, make: F) -> Option<&'a mut T>
 where
     F: FnOnce() -> Option<T>,
 {
     if !series.contains_key(labels) {
-        if series.len() >= MOST_SERIES {
+        if series.len() >= MAX_SERIES {
             return None;
         }
         series.insert(labels.to_owned(), make()?);
@@ -135,7 +137,8 @@
     series.get_mut(labels)
 }
 
-fn plain<T>(text: &mut String, name: &str, kind: &str, series: &Series<T>)
+/// Renders counters or gauges.
+fn scalars<T>(text: &mut String, name: &str, kind: &str, series: &Series<T>)
 where
     T: std::fmt::Display,
 {
@@ -181,6 +184,7 @@
     }
 }
 
+/// Encloses labels in braces; empty if there are none.
 fn braces(labels: &str) -> String {
     match labels.is_empty() {
         true => String::new(),
@@ -188,7 +192,7 @@
     }
 }
 
-/// Writes labels by the rules of Prometheus' text format: backslash, quote and line end escaped.
+/// Writes labels as the Prometheus text format has them: backslash, quote and line feed escaped.
 fn render(text: &mut String, labels: &[(&str, &str)]) {
     text.clear();
     for (name, value) in labels {
--- a/crates/lentillift-operator/src/server.rs
+++ b/crates/lentillift-operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener for operators.
+//! The HTTP listener for operators.
 
 pub use crate::board::Board;
 use bytes::Bytes;
@@ -16,10 +16,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Kind of content that `/metrics` returns.
-const METRICS: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+/// Content type of the Prometheus text format.
+const METRICS_CONTENT_TYPE: HeaderValue =
+    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-/// Serves operators until `stop` turns true.
+/// Serves operators until `stop` becomes true.
 pub async fn serve(
     listener: TcpListener,
     options: Options,
@@ -35,14 +36,17 @@
 
 fn handle(board: &Board, request: &Request<Bytes>) -> Response<Bytes> {
     if !matches!(*request.method(), Method::GET | Method::HEAD) {
-        return plain(StatusCode::METHOD_NOT_ALLOWED, "GET is right".to_owned());
+        return plain(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "method not allowed, use GET".to_owned(),
+        );
     }
     match request.uri().path() {
         "/healthz" => plain(StatusCode::OK, "ok".to_owned()),
         "/readyz" if board.is_ready() => plain(StatusCode::OK, "ready".to_owned()),
         "/readyz" => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready".to_owned()),
         "/metrics" => metrics(board),
-        "/status" => value(&board.status()),
+        "/status" => json_response(&board.status()),
         "/timeline" => timeline(board, request.uri().query()),
         _ => plain(
             StatusCode::NOT_FOUND,
@@ -53,7 +57,9 @@
 
 fn metrics(board: &Board) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(board.metrics()));
-    response.headers_mut().insert(CONTENT_TYPE, METRICS);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
     response
 }
 
@@ -63,7 +69,7 @@
         Some(since) => since.parse(),
     };
     match since {
-        Ok(since) => value(&board.timeline(since)),
+        Ok(since) => json_response(&board.timeline(since)),
         Err(_) => plain(
             StatusCode::BAD_REQUEST,
             "since: right is the number of an event".to_owned(),
@@ -71,7 +77,7 @@
     }
 }
 
-fn value<T>(value: &T) -> Response<Bytes>
+fn json_response<T>(value: &T) -> Response<Bytes>
 where
     T: Serialize,
 {
--- a/crates/lentillift-operator/src/status.rs
+++ b/crates/lentillift-operator/src/status.rs
@@ -1,4 +1,4 @@
-//! What `/status` returns.
+//! The response of `/status`.
 
 use crate::trend::Rows;
 use lentillift_core::id;
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// How a process stands.
+/// The status of a process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host.
+    /// Name of the host.
     pub host: id::Host,
-    /// The incarnation of its process.
+    /// Incarnation of the process on that host.
     pub incarnation: id::Incarnation,
     /// Whether the balancer may send callers here.
     pub ready: bool,
@@ -21,54 +21,54 @@
     pub uptime_s: u64,
     /// Coverage and latency by hour and by day, for each service.
     pub trend: BTreeMap<id::Service, Rows>,
-    /// What each task tells of itself.
+    /// The sections that tasks set, by name: `view`, `owner`, `entry`.
     pub sections: BTreeMap<String, Value>,
-    /// How long ago each section was set, in milliseconds.
+    /// Time since each section was last set, in milliseconds.
     pub ages_ms: BTreeMap<String, u64>,
 }
 
-/// The section `view`: what is in force at a process.
+/// The section `view`: the published state in force at a process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// Failure domain of the host.
     pub domain: id::Domain,
-    /// Revision of the configuration; 0 as long as there is none.
+    /// Revision of the configuration; 0 before the first.
     pub config: id::Revision,
-    /// Revision of the list of hosts; 0 as long as there is none.
+    /// Revision of the list of hosts; 0 before the first.
     pub hosts: id::Revision,
     /// Revision of each service's placement.
     pub placements: BTreeMap<id::Service, id::Revision>,
-    /// Failure domains, with whether each is in service.
+    /// Whether each failure domain is in service.
     pub domains: BTreeMap<id::Domain, bool>,
     /// Hosts that are out of service.
     pub hosts_out: BTreeSet<id::Host>,
-    /// Hosts that are held to be alive.
+    /// Hosts that this process considers alive.
     pub alive: BTreeSet<id::Host>,
 }
 
-/// A backend server in the section `owner`.
+/// One backend server in the section `owner`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its service.
+    /// Service that it belongs to.
     pub service: id::Service,
-    /// Its failure domain.
+    /// Failure domain that it runs in.
     pub domain: id::Domain,
-    /// Requests sent and not yet answered.
+    /// Requests sent to it and not yet answered.
     pub in_flight: u32,
-    /// Sub-requests that wait.
+    /// Sub-requests queued for it.
     pub queue: usize,
-    /// Requests that may be in flight now.
+    /// Current limit on requests in flight.
     pub limit: u32,
-    /// Whether it has its full share.
+    /// Whether it has finished its warm-up and gets its full share of load.
     pub warm: bool,
 }
 
-/// The section `owner`: the backend servers that a process owns and has sent work to.
+/// The section `owner`: the backend servers that a process owns and has sent requests to.
 pub type Owner = BTreeMap<id::Backend, Server>;
 
 /// The section `entry`: the queries at a process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Queries whose callers wait.
+    /// Queries that are being served.
     pub waiting: usize,
 }
--- a/crates/lentillift-operator/src/trend.rs
+++ b/crates/lentillift-operator/src/trend.rs
@@ -1,7 +1,7 @@
 //! Coverage and latency of each service by hour and by day.
 //!
-//! What users fear most is a search that gets a little later and a little less complete each
-//! month. No counter of the moment shows that; a row of days does.
+//! Users fear most a search that gets a little slower and a little less complete each month.
+//! Momentary counters don't show such a decline; a history of days does.
 
 use crate::histogram::Histogram;
 use crate::latency;
@@ -12,22 +12,22 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Hours that are kept.
+/// Number of hours kept.
 const HOURS: usize = 48;
 
-/// Days that are kept.
+/// Number of days kept.
 const DAYS: usize = 62;
 
-/// Services that are kept; a fleet has a few hundred.
-const MOST_SERVICES: usize = 1000;
+/// Maximum number of services with a history; a fleet has a few hundred.
+const MAX_SERVICES: usize = 1000;
 
 const HOUR: u64 = 3600;
 const DAY: u64 = 24 * HOUR;
 
-/// One hour or day of one service.
+/// Figures of one service in one hour or day.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Span {
-    /// Its start, in seconds since 1970.
+    /// Start of the hour or day, in seconds since the Unix epoch.
     pub start_s: u64,
     /// Queries that were answered.
     pub answers: u64,
@@ -35,66 +35,68 @@
     pub full: u64,
     /// Queries that were refused.
     pub refusals: u64,
-    /// Mean share of the data that answers covered.
+    /// Mean share of the data that answers covered, 0 to 1.
     pub coverage: f64,
-    /// 99th percentile of the time to an answer, in milliseconds.
+    /// 99th percentile of the latency of answers, in milliseconds.
     pub p99_ms: f64,
-    /// Times to an answer, to be added to those of other processes; without counts from a process that
-    /// does not tell them yet.
+    /// Latencies of answers, to be added to those of other processes; empty from a process whose
+    /// version doesn't send them yet.
     #[serde(default)]
     pub times: Histogram,
 }
 
-/// Spans of one length; only the current one keeps a histogram.
+/// The latest spans of one length, in seconds; only the current one has a precise histogram.
 #[derive(Debug)]
-struct Row {
-    length: u64,
-    most: usize,
+struct History {
+    length_s: u64,
+    max_spans: usize,
     past: VecDeque<Span>,
     current: Span,
-    shares: f64,
+    share_sum: f64,
     latencies: hdrhistogram::Histogram<u64>,
 }
 
-impl Row {
-    fn new(length: u64, most: usize, now: Duration) -> Option<Self> {
+impl History {
+    fn new(length_s: u64, max_spans: usize, now: Duration) -> Option<Self> {
         Some(Self {
-            length,
-            most,
+            length_s,
+            max_spans,
             past: VecDeque::new(),
-            current: Self::span(length, now),
-            shares: 0.0,
+            current: Self::span(length_s, now),
+            share_sum: 0.0,
             latencies: latency::histogram()?,
         })
     }
 
-    fn span(length: u64, now: Duration) -> Span {
+    /// An empty span that contains `now`.
+    fn span(length_s: u64, now: Duration) -> Span {
         Span {
-            start_s: now.as_secs() / length * length,
+            start_s: now.as_secs() / length_s * length_s,
             ..Span::default()
         }
     }
 
-    fn turn(&mut self, now: Duration) {
-        // A clock that was set back stays in the span that it was in.
-        if now.as_secs() < self.current.start_s + self.length {
+    /// Moves on to the span of `now`.
+    fn advance(&mut self, now: Duration) {
+        // After the clock was set back, counting goes on in the current span.
+        if now.as_secs() < self.current.start_s + self.length_s {
             return;
         }
-        let closed = self.closed();
-        self.past.push_back(closed);
-        if self.past.len() >= self.most {
+        let span = self.summarise();
+        self.past.push_back(span);
+        if self.past.len() >= self.max_spans {
             self.past.pop_front();
         }
-        self.current = Self::span(self.length, now);
-        self.shares = 0.0;
+        self.current = Self::span(self.length_s, now);
+        self.share_sum = 0.0;
         self.latencies.reset();
     }
 
-    /// The current span with its figures worked out.
-    fn closed(&self) -> Span {
+    /// The current span with its mean coverage and 99th percentile computed.
+    fn summarise(&self) -> Span {
         let mut span = self.current.clone();
         if span.answers > 0 {
-            span.coverage = self.shares / span.answers as f64;
+            span.coverage = self.share_sum / span.answers as f64;
             span.p99_ms = latency::quantile(&self.latencies, 0.99).as_secs_f64() * 1e3;
         }
         span
@@ -102,7 +104,7 @@
 
     fn spans(&self) -> Vec<Span> {
         let past = self.past.iter().cloned();
-        past.chain([self.closed()]).collect()
+        past.chain([self.summarise()]).collect()
     }
 }
 
@@ -118,29 +120,29 @@
 /// Hours and days of all services.
 #[derive(Debug, Default)]
 pub struct Trend {
-    services: BTreeMap<id::Service, [Row; 2]>,
+    services: BTreeMap<id::Service, [History; 2]>,
 }
 
 impl Trend {
-    /// Notes an answer; `now` is the time since 1970.
+    /// Records an answer; `now` is the time since the Unix epoch, `share` the share of the data covered.
     pub fn answer(&mut self, now: Duration, service: &id::Service, latency: Duration, share: f64) {
         for row in self.rows(now, service) {
             row.current.answers += 1;
             row.current.full += u64::from(share >= 1.0);
             row.current.times.record(latency);
-            row.shares += share;
+            row.share_sum += share;
             latency::record(&mut row.latencies, latency);
         }
     }
 
-    /// Notes a refusal; `now` is the time since 1970.
+    /// Records a refusal; `now` is the time since the Unix epoch.
     pub fn refusal(&mut self, now: Duration, service: &id::Service) {
         for row in self.rows(now, service) {
             row.current.refusals += 1;
         }
     }
 
-    /// All hours and days.
+    /// The hours and days of each service.
     pub fn spans(&self) -> BTreeMap<id::Service, Rows> {
         let services = self.services.iter();
         let spans = services.map(|(service, [hours, days])| {
@@ -150,13 +152,14 @@
         spans.collect()
     }
 
-    fn rows(&mut self, now: Duration, service: &id::Service) -> &mut [Row] {
+    /// The histories of a service, moved on to `now`; empty if there are [`MAX_SERVICES`] others.
+    fn rows(&mut self, now: Duration, service: &id::Service) -> &mut [History] {
         if !self.services.contains_key(service) {
-            let rows = (Row::new(HOUR, HOURS, now), Row::new(DAY, DAYS, now));
+            let rows = (History::new(HOUR, HOURS, now), History::new(DAY, DAYS, now));
             let (Some(hours), Some(days)) = rows else {
                 return &mut [];
             };
-            if self.services.len() >= MOST_SERVICES {
+            if self.services.len() >= MAX_SERVICES {
                 return &mut [];
             }
             self.services.insert(service.clone(), [hours, days]);
@@ -164,7 +167,7 @@
         let Some(rows) = self.services.get_mut(service) else {
             return &mut [];
         };
-        rows.iter_mut().for_each(|row| row.turn(now));
+        rows.iter_mut().for_each(|row| row.advance(now));
         rows
     }
 }
--- a/crates/lentillift-operator/tests/interface.rs
+++ b/crates/lentillift-operator/tests/interface.rs
@@ -1,4 +1,4 @@
-//! The contract of the operators' interface, over HTTP.
+//! Statuses, headers and bodies of the operators' interface, over HTTP.
 
 use lentillift_core::time::Clock;
 use lentillift_http::listener::Options;
@@ -13,7 +13,7 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-/// A board that is served on loopback.
+/// A board with its listener on loopback.
 struct Served {
     board: Board,
     address: SocketAddr,
@@ -69,12 +69,12 @@
 answers! {
     health: "/healthz" => 200, "ok\n";
     not_ready: "/readyz" => 503, "not ready\n";
-    no_route: "/stats" => 404, "right is one of /healthz /readyz /metrics /status /timeline\n";
-    no_number: "/timeline?since=x" => 400, "since: right is the number of an event\n";
+    unknown_path: "/stats" => 404, "right is one of /healthz /readyz /metrics /status /timeline\n";
+    malformed_since: "/timeline?since=x" => 400, "since: right is the number of an event\n";
 }
 
 #[test]
-fn ready_when_the_tasks_say_so() {
+fn readiness_follows_set_ready_with_one_event() {
     let served = serve();
     served.board.set_ready(true);
     served.board.set_ready(true);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn metrics_name_their_format() {
+fn metrics_have_the_prometheus_content_type() {
     let served = serve();
     served.board.add("lentillift_shards_total", &[], 2);
     let (status, kind, body) = served.get("/metrics");
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn status_has_each_task_in_its_section() {
+fn status_has_a_section_for_each_task() {
     let served = serve();
     let service = "archive".into();
     served
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn timeline_goes_on_from_a_number() {
+fn timeline_resumes_from_a_number() {
     let served = serve();
     served.board.event("peer", "entry-2", "link ended");
     let note = Note::new("in force", "config", "revision 4")
--- a/crates/lentillift-operator/tests/series.rs
+++ b/crates/lentillift-operator/tests/series.rs
@@ -1,4 +1,4 @@
-//! Series as Prometheus reads them, and hours and days as operators read them.
+//! Metrics in the Prometheus text format, eviction of time line events, and trends by hour and day.
 
 use lentillift_operator::event::Note;
 use lentillift_operator::event::Timeline;
@@ -44,9 +44,9 @@
     assert!((0.098..=0.1).contains(&p99), "{p99}");
 }
 
-/// Counts with the same bounds on every process are what a fleet's quantile is worked out from.
+/// The quantiles of a fleet are computed from counts with the same bounds on every process.
 #[test]
-fn histograms_count_up_to_each_bound() {
+fn histogram_buckets_are_cumulative() {
     let mut metrics = Metrics::default();
     let labels = [("route", "names")];
     for millis in [3, 30, 40, 20_000] {
@@ -88,8 +88,8 @@
     tab_stays: "a\tb" => "a\tb";
 }
 
-/// A label once comes from what callers send, and a hostile caller sends a new one each time.
-/// Without a bound, memory would grow until the process is killed and its queries are lost.
+/// Guards against unbounded memory: if a label came from what callers send, a hostile caller could
+/// send a new one each time until the process is killed and its queries are lost.
 #[test]
 fn series_of_one_name_are_bounded() {
     let mut metrics = Metrics::default();
@@ -104,10 +104,10 @@
     assert!(text.contains("lentillift_series_dropped_total 10\n"));
 }
 
-/// A backend server is slow for a minute after a good week. Over the whole life of the process
-/// the minute would vanish among the good answers, and nobody would be called.
+/// A backend server is slow for a minute after a good week. In quantiles over the whole life of the
+/// process that minute would not show, and no alert would fire.
 #[test]
-fn quantiles_are_of_the_last_minutes() {
+fn quantiles_cover_only_the_last_two_windows() {
     let mut metrics = Metrics::default();
     let observe = |metrics: &mut Metrics, now, millis, times| {
         for _ in 0..times {
@@ -131,10 +131,10 @@
     assert_eq!(median(&metrics, 800 * SECOND), 0.0);
 }
 
-/// A backend server starts to fail, and each request to it ends with an event. The event that began
-/// it all must still be there when an operator looks an hour later.
+/// A backend server starts to fail, and each request to it adds an event. The event that caused the
+/// outage must still be on the time line when an operator looks an hour later.
 #[test]
-fn one_kind_does_not_push_out_the_others() {
+fn a_frequent_kind_does_not_evict_other_events() {
     let mut timeline = Timeline::default();
     timeline.push(
         SECOND,
@@ -156,10 +156,10 @@
     assert!(events.windows(2).all(|two| two[0].number < two[1].number));
 }
 
-/// Each day the search covers a little less and takes a little longer. No moment looks wrong;
-/// only the row of days shows it.
+/// Each day the search covers a little less and takes a little longer. No momentary figure looks
+/// wrong; only the history of days shows the decline.
 #[test]
-fn slow_decline_shows_day_by_day() {
+fn a_slow_decline_shows_in_the_days() {
     let mut trend = Trend::default();
     let service = "notice-search".into();
     for day in 0..100 {
@@ -187,9 +187,9 @@
     assert!(rows.days[0].p99_ms < last.p99_ms);
 }
 
-/// A host's clock is set back by an hour. Counts go on in the span they are in and none is lost.
+/// A host's clock is set back by an hour. Counting goes on in the current span and no count is lost.
 #[test]
-fn clock_set_back_loses_nothing() {
+fn a_clock_set_back_loses_no_counts() {
     let mut trend = Trend::default();
     let service = "s".into();
     for second in [10 * HOUR, 9 * HOUR, 10 * HOUR + 1] {
