--- a/crates/lentillift-operator/src/catalog.rs
+++ b/crates/lentillift-operator/src/catalog.rs
@@ -20,11 +20,11 @@
     ),
     (
         "lentillift_backend_limit_fell_total",
-        "Times that a backend server's concurrency limit was lowered because it was slow.",
+        "Times that a backend server's slot limit was lowered because it was slow.",
     ),
     (
         "lentillift_backend_limit_rose_total",
-        "Times that a backend server's concurrency limit was raised again.",
+        "Times that a backend server's slot limit was raised again.",
     ),
     (
         "lentillift_backend_paused_total",
@@ -156,15 +156,15 @@
     ),
     (
         "lentillift_gateway_sends_total",
-        "Sends to backend servers and other hosts, by hop.",
+        "Sends to backend servers and other hosts, by destination.",
     ),
     (
         "lentillift_gateway_quarantine_changes_total",
-        "State changes in the quarantine of requests during which backend servers crashed, by new state.",
+        "State changes in the quarantine of requests during which backend servers terminated, by new state.",
     ),
     (
         "lentillift_gateway_servers_ended_total",
-        "Requests whose backend server crashed while it ran them.",
+        "Requests whose backend server terminated while it ran them.",
     ),
     (
         "lentillift_gateway_service_calls_total",
@@ -217,7 +217,7 @@
     ),
     (
         "lentillift_queries_waiting",
-        "Queries that are being served.",
+        "Queries that are not yet answered.",
     ),
     (
         "lentillift_query_seconds",
--- a/crates/lentillift-operator/src/status.rs
+++ b/crates/lentillift-operator/src/status.rs
@@ -69,6 +69,6 @@
 /// The section `entry`: the queries at a process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Queries that are being served.
+    /// Queries that are not yet answered.
     pub waiting: usize,
 }
