--- a/crates/lentillift-operator/src/board.rs
+++ b/crates/lentillift-operator/src/board.rs
@@ -106,7 +106,7 @@
     }
 
     /// Sets whether this process holds the leases that it needs; until then it is not ready.
-    pub fn set_settled(&self, settled: bool) {
+    pub fn set_leases_ready(&self, settled: bool) {
         self.update(|state| state.leases_pending = !settled);
     }
 
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -98,7 +98,7 @@
         mail: mpsc::Sender<Mail>,
     ) -> Self {
         let options = lentillift_fleet::tenure::Options::default();
-        board.set_settled(false);
+        board.set_leases_ready(false);
         Self {
             owner: Owner::new(),
             tenure: Tenure::new(clock.now(), me.host.clone(), me.incarnation, options),
@@ -145,7 +145,7 @@
                     let now = self.clock.now();
                     let effects = self.tenure.tick(now);
                     self.keep(now, effects).await;
-                    self.board.set_settled(self.tenure.is_ready(now));
+                    self.board.set_leases_ready(self.tenure.is_ready(now));
                 }
                 () = until(self.clock, wake) => {
                     self.handle(self.clock.now(), Event::Tick).await;
