--- a/crates/lentillift-operator/benches/board.rs
+++ b/crates/lentillift-operator/benches/board.rs
@@ -26,7 +26,7 @@
         b.iter(|| board.observe("seconds", &[("backend", &*next())], black_box(latency)));
     });
     c.bench_function("board/answered", |b| {
-        b.iter(|| board.answered(&next(), black_box(latency), 1.0));
+        b.iter(|| board.record_answer(&next(), black_box(latency), 1.0));
     });
     c.bench_function("board/metrics", |b| b.iter(|| board.metrics()));
 }
--- a/crates/lentillift-operator/src/board.rs
+++ b/crates/lentillift-operator/src/board.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records the answer to a query in the trend; `share` of the data, 0 to 1, was covered.
-    pub fn answered(&self, service: &id::Service, latency: Duration, share: f64) {
+    pub fn record_answer(&self, service: &id::Service, latency: Duration, share: f64) {
         let now = unix_time();
         self.lock().trend.answer(now, service, latency, share);
     }
--- a/crates/lentillift-operator/tests/interface.rs
+++ b/crates/lentillift-operator/tests/interface.rs
@@ -110,7 +110,7 @@
         .set_section("entry", &serde_json::json!({ "waiting": 1 }));
     served
         .board
-        .answered(&service, Duration::from_millis(20), 0.5);
+        .record_answer(&service, Duration::from_millis(20), 0.5);
     let (_, kind, body) = served.get("/status");
     assert_eq!(kind, "application/json");
     let status: Status = serde_json::from_str(&body).expect("status");
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -76,7 +76,7 @@
         let labels = [("service", &**service), ("reason", &*reason)];
         board.add("lentillift_shards_missing_total", &labels, 1);
     }
-    board.answered(service, latency, coverage.share());
+    board.record_answer(service, latency, coverage.share());
 }
 
 /// Tells of a refusal.
