--- a/crates/lentillift-operator/src/board.rs
+++ b/crates/lentillift-operator/src/board.rs
@@ -85,7 +85,7 @@
     }
 
     /// Records the refusal of a query to a configured service in the trend.
-    pub fn refused(&self, service: &id::Service) {
+    pub fn record_refusal(&self, service: &id::Service) {
         self.lock().trend.refusal(unix_time(), service);
     }
 
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -88,7 +88,7 @@
         ("cause", name(refusal.cause)),
     ];
     board.add("lentillift_refusals_total", &labels, 1);
-    board.refused(service);
+    board.record_refusal(service);
 }
 
 /// Tells of a request that may or may not have run.
