--- a/crates/lentillift-load/src/arrival.rs
+++ b/crates/lentillift-load/src/arrival.rs
@@ -1,4 +1,4 @@
-//! When requests are due, and what they ask for.
+//! Arrival times and keys of requests, drawn from a scenario.
 
 use crate::scenario::Scenario;
 use crate::scenario::Stream;
@@ -7,22 +7,22 @@
 use rand::rngs::StdRng;
 use std::time::Duration;
 
-/// A request that is due at a time.
+/// A request and the time at which it is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, from the start of the run.
+    /// Time from the start of the run.
     pub due: Duration,
-    /// Position of its stream in the scenario.
+    /// Index of its stream in the scenario.
     pub stream: usize,
-    /// Which of the stream's queries it is; 0 is the most frequent.
+    /// Which of the stream's distinct queries it sends; 0 is the most frequent.
     pub key: u64,
 }
 
-/// Draws all arrivals of a scenario, in the order of their times.
+/// Draws all arrivals of a scenario, sorted by time; the same seed gives the same arrivals.
 pub fn draw(scenario: &Scenario) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
-    for (position, stream) in scenario.streams.iter().enumerate() {
-        let seed = scenario.seed.wrapping_add(position as u64);
+    for (index, stream) in scenario.streams.iter().enumerate() {
+        let seed = scenario.seed.wrapping_add(index as u64);
         let mut rng = StdRng::seed_from_u64(seed);
         let zipf = Zipf::new(stream.keys, stream.zipf);
         let mut at = 0.0;
@@ -33,7 +33,7 @@
             }
             arrivals.push(Arrival {
                 due: Duration::from_secs_f64(at),
-                stream: position,
+                stream: index,
                 key: zipf.draw(&mut rng),
             });
         }
@@ -42,7 +42,7 @@
     arrivals
 }
 
-/// Time from one arrival to the next, of a Poisson process with the stream's rate at that time.
+/// Seconds from one arrival to the next, drawn from a Poisson process with the stream's rate at `at`.
 fn gap<R>(stream: &Stream, at: f64, rng: &mut R) -> f64
 where
     R: Rng,
@@ -54,7 +54,7 @@
     -uniform.ln() / rate.max(f64::MIN_POSITIVE)
 }
 
-/// A Zipf distribution, as a table of its cumulative weights.
+/// A Zipf distribution, as a table of cumulative weights.
 struct Zipf {
     cumulative: Vec<f64>,
 }
--- a/crates/lentillift-load/src/balancer.rs
+++ b/crates/lentillift-load/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer in small: it sends callers to processes that say they are ready.
+//! A model of the platform's load balancer: round robin over the processes that report ready.
 
 use crate::control::Control;
 use anyhow::Context;
@@ -15,12 +15,12 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Longest time that a process may take to say that it is ready.
+/// Timeout of a readiness check; a process that answers later counts as not ready.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A process, as its start-up line and the name of its file tell.
+/// Addresses of a process, from the JSON line that it prints at start-up.
 ///
-/// The file is called `HOST@DOMAIN.json`.
+/// The line is in a file called `HOST@DOMAIN.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 struct Process {
     caller: SocketAddr,
@@ -28,7 +28,7 @@
     operator: SocketAddr,
 }
 
-/// A balancer over the processes whose files are in a directory.
+/// A load balancer over the processes whose files are in a directory.
 #[derive(Debug)]
 pub struct Balancer {
     directory: PathBuf,
@@ -39,7 +39,7 @@
 }
 
 impl Balancer {
-    /// Starts without processes.
+    /// Creates a balancer that knows no processes until the first [`Balancer::refresh`].
     pub fn new(directory: &Path) -> Self {
         let config = Agent::config_builder()
             .proxy(None)
@@ -55,30 +55,31 @@
         }
     }
 
-    /// The process that the next caller goes to.
+    /// Returns the callers' address of the next ready process, in turn; none if none is ready.
     pub fn pick(&self) -> Option<SocketAddr> {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
         let next = self.next.fetch_add(1, Ordering::Relaxed);
         ready.get(next.checked_rem(ready.len())?).copied()
     }
 
-    /// How many processes are ready.
-    pub fn ready(&self) -> usize {
+    /// Number of processes that were ready at the last refresh.
+    pub fn ready_count(&self) -> usize {
         let ready = self.ready.lock().unwrap_or_else(PoisonError::into_inner);
         ready.len()
     }
 
-    /// Looks for new and gone processes, tells the platform, and asks each if it is ready.
+    /// Reads the directory again, announces new and removed processes to the platform's stand-in, and
+    /// checks the readiness of each process.
     ///
     /// # Errors
     ///
-    /// When the directory can't be read or the platform's stand-in can't be told.
-    pub fn check(&self, control: &Control) -> anyhow::Result<()> {
-        let found = self.find()?;
+    /// When the directory can't be read or the platform's stand-in can't be reached.
+    pub fn refresh(&self, control: &Control) -> anyhow::Result<()> {
+        let found = self.read_directory()?;
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         for (name, process) in &found {
             if known.get(name) != Some(process) {
-                control.add_host(&host(name, process)?)?;
+                control.add_host(&host_entry(name, process)?)?;
             }
         }
         for name in known.keys().filter(|name| !found.contains_key(*name)) {
@@ -91,12 +92,12 @@
         Ok(())
     }
 
-    fn find(&self) -> anyhow::Result<BTreeMap<String, Process>> {
+    fn read_directory(&self) -> anyhow::Result<BTreeMap<String, Process>> {
         let mut found = BTreeMap::new();
-        for file in std::fs::read_dir(&self.directory).context("hosts")? {
+        for file in std::fs::read_dir(&self.directory).context("read the directory of hosts")? {
             let path = file?.path();
             let name = path.file_stem().and_then(|name| name.to_str());
-            // A file that is still being written is read the next time.
+            // A file that is still being written does not parse; the next refresh reads it again.
             let text = std::fs::read_to_string(&path).unwrap_or_default();
             if let (Some(name), Ok(process)) = (name, serde_json::from_str(&text)) {
                 found.insert(name.to_owned(), process);
@@ -112,8 +113,11 @@
     }
 }
 
-fn host(name: &str, process: &Process) -> anyhow::Result<Host> {
-    let (host, domain) = name.split_once('@').context("HOST@DOMAIN.json is right")?;
+/// The entry of a process in the platform's list of hosts, from its file's name.
+fn host_entry(name: &str, process: &Process) -> anyhow::Result<Host> {
+    let (host, domain) = name
+        .split_once('@')
+        .with_context(|| format!("{name}.json: file name must be HOST@DOMAIN.json"))?;
     Ok(Host {
         host: host.to_owned(),
         domain: domain.to_owned(),
--- a/crates/lentillift-load/src/control.rs
+++ b/crates/lentillift-load/src/control.rs
@@ -1,4 +1,4 @@
-//! Driving the stand-ins.
+//! A client of the stand-ins' control interface, which adds hosts, injects faults and reads counts.
 
 use anyhow::Context;
 use lentillift_standin::control::Host;
@@ -9,33 +9,33 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Longest time that a call may take.
+/// Timeout of a call to the control interface.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What one backend server has seen.
+/// Counters of one backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
-pub struct Count {
-    /// Requests that were started.
+pub struct BackendCounts {
+    /// Requests that it started to run.
     pub requests: u64,
-    /// Most requests under way at a time.
+    /// Maximum number of requests in flight at a time.
     pub peak: u32,
-    /// Times that more requests were under way than it bears.
+    /// Times that more requests were in flight than it has capacity for.
     pub overloads: u64,
-    /// Times that it started over cold.
+    /// Times that it restarted cold.
     pub falls: u64,
     /// Requests that it shed.
     pub shed: u64,
     /// Requests that were cancelled.
     pub cancelled: u64,
-    /// How often each idempotency key was run.
+    /// Number of runs of each idempotency key.
     pub actions: BTreeMap<String, u64>,
 }
 
-/// What all stand-ins have seen.
+/// Counters of all stand-ins.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 pub struct Counts {
-    /// The backend servers by name.
-    pub backends: BTreeMap<String, Count>,
+    /// Counters of the backend servers, by name.
+    pub backends: BTreeMap<String, BackendCounts>,
     /// Calls to the configuration service.
     pub platform_calls: u64,
 }
@@ -48,7 +48,7 @@
 }
 
 impl Control {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client without connecting.
     pub fn new(address: SocketAddr) -> Self {
         let config = Agent::config_builder()
             .proxy(None)
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Makes a host known to the platform.
+    /// Adds a host to the platform's list of hosts.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
         self.post("hosts", &serde_json::to_string(host)?)
     }
 
-    /// Tells the platform that a host is gone.
+    /// Removes a host from the platform's list of hosts.
     ///
     /// # Errors
     ///
@@ -80,16 +80,17 @@
         Ok(())
     }
 
-    /// Brings about a fault.
+    /// Injects a fault.
     ///
     /// # Errors
     ///
-    /// When the stand-in can't be reached or knows no such thing.
+    /// When the stand-in can't be reached or refuses the fault, for instance because it names an unknown
+    /// backend server.
     pub fn fault(&self, fault: &Fault) -> anyhow::Result<()> {
         self.post("faults", &serde_json::to_string(fault)?)
     }
 
-    /// What all stand-ins have seen so far.
+    /// Reads the counters of all stand-ins since their start.
     ///
     /// # Errors
     ///
--- a/crates/lentillift-load/src/html.rs
+++ b/crates/lentillift-load/src/html.rs
@@ -1,4 +1,4 @@
-//! A report as one self-contained page.
+//! Renders a report as one self-contained HTML page.
 
 use crate::report::Report;
 use crate::report::Second;
@@ -14,14 +14,14 @@
 body{font:14px sans-serif;margin:2em;max-width:960px}pre{background:#f4f4f4;padding:1em;overflow:auto}\
 svg{background:#fafafa;border:1px solid #ddd}text{font:11px sans-serif}</style>";
 
-/// One line of a plot.
+/// One line of a plot, with the figure that it shows for each second.
 struct Line {
     name: &'static str,
     color: &'static str,
     value: fn(&Second) -> f64,
 }
 
-/// Renders a report.
+/// Renders a report: its table, and plots of its figures per second.
 pub fn render(report: &Report) -> String {
     let mut page = format!("{HEAD}<h1>{}</h1>", escape(&report.title));
     let _ = write!(page, "<pre>{}</pre>", escape(&report.table()));
@@ -64,10 +64,11 @@
     Line { name, color, value }
 }
 
+/// Appends a plot with one point per second and a dashed line at each mark.
 fn plot(page: &mut String, report: &Report, title: &str, lines: &[Line]) {
     let seconds = &report.seconds;
     let values = lines.iter().flat_map(|line| seconds.iter().map(line.value));
-    let most = values.fold(1.0, f64::max);
+    let max = values.fold(1.0, f64::max);
     let step = WIDTH / (seconds.len().max(2) - 1) as f64;
     let _ = write!(
         page,
@@ -77,7 +78,7 @@
     for line in lines {
         let points = seconds.iter().enumerate().map(|(at, second)| {
             let x = at as f64 * step;
-            let y = HEIGHT - (line.value)(second) / most * (HEIGHT - 10.0);
+            let y = HEIGHT - (line.value)(second) / max * (HEIGHT - 10.0);
             format!("{x:.1},{y:.1}")
         });
         let points: Vec<String> = points.collect();
@@ -105,7 +106,7 @@
             line.color, line.name
         );
     }
-    let _ = write!(page, "<text x=4 y=12>{most:.1}</text></svg>");
+    let _ = write!(page, "<text x=4 y=12>{max:.1}</text></svg>");
 }
 
 fn escape(text: &str) -> String {
--- a/crates/lentillift-load/src/lib.rs
+++ b/crates/lentillift-load/src/lib.rs
@@ -1,7 +1,8 @@
 //! Open-loop load on running processes, and reports of what callers received.
 //!
-//! Arrivals are drawn beforehand and each latency is counted from the time at which its request
-//! was due, so that a slow system can't slow its own load down and look better for it.
+//! All arrivals are drawn before the run, and each latency is measured from the time at which its
+//! request was due. A slow system therefore can't slow its own load down and look better than it is
+//! (coordinated omission).
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-load/src/report.rs
+++ b/crates/lentillift-load/src/report.rs
@@ -1,6 +1,6 @@
-//! What a run showed: the users' four measures and what lies behind them.
+//! The report of a load run: latency, coverage, requests served and extra load, with their causes.
 
-use crate::control::Count;
+use crate::control::BackendCounts;
 use crate::control::Counts;
 use crate::run::Outcome;
 use crate::sample::End;
@@ -12,34 +12,34 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Significant decimal digits that histograms keep.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What a run showed.
+/// Figures of a load run, for its table, page and baselines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The scenario's title.
     pub title: String,
-    /// One entry for each stream.
+    /// Figures of each stream, in the scenario's order.
     pub streams: Vec<Stream>,
-    /// The backend servers' side.
+    /// Figures of the backend servers, summed.
     pub backends: Backends,
-    /// One entry for each second.
+    /// Figures of each second of the run.
     pub seconds: Vec<Second>,
-    /// Times and texts of the marks.
+    /// Faults that were injected: seconds from the start of the run, and the fault as JSON.
     pub marks: Vec<(f64, String)>,
 }
 
-/// What one stream's caller received.
+/// Results of the requests of one stream, after the scenario's warm-up.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Stream {
-    /// The service and the caller.
+    /// Service and caller, separated by a space.
     pub name: String,
-    /// Requests.
+    /// Requests that were due.
     pub requests: u64,
-    /// Requests that were answered, whole or in part, or that ran.
+    /// Queries that were answered, in full or in part, and actions that ran.
     pub served: u64,
-    /// Requests whose answer was whole, or that ran.
+    /// Queries that were answered in full, and actions that ran.
     pub full: u64,
     /// Mean share of the data over all answers.
     pub coverage: f64,
@@ -53,26 +53,26 @@
     pub refused: BTreeMap<String, u64>,
     /// Requests whose outcome is unknown.
     pub unknown: u64,
-    /// Requests whose connection broke, by what was said.
+    /// Requests that failed with a broken connection or a malformed response, by error.
     pub broken: BTreeMap<String, u64>,
     /// Missing shards by reason.
     pub missing: BTreeMap<String, u64>,
 }
 
-/// What the backend servers saw.
+/// Figures of all backend servers over the whole run, warm-up included.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Backends {
     /// Requests that were started.
     pub requests: u64,
-    /// Requests that answers needed.
+    /// Requests that the answers needed at least: one per shard, or one per action.
     pub needed: u64,
-    /// Requests beyond those needed, as a share of those needed.
+    /// Requests beyond those needed, as a ratio to those needed.
     pub extra: f64,
-    /// Times that a backend server had more under way than it bears.
+    /// Times that a backend server had more requests in flight than it has capacity for.
     pub overloads: u64,
-    /// Times that a backend server started over cold.
+    /// Times that a backend server restarted cold.
     pub falls: u64,
-    /// Requests that were shed.
+    /// Requests that backend servers shed.
     pub shed: u64,
     /// Requests that were cancelled.
     pub cancelled: u64,
@@ -82,7 +82,7 @@
     pub platform_calls: u64,
 }
 
-/// What one second showed, over all streams.
+/// Figures of all streams together in one second of the run, warm-up included.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     /// Requests that were due.
@@ -91,7 +91,7 @@
     pub served: u64,
     /// Requests that were refused.
     pub refused: u64,
-    /// Requests that broke or whose outcome is unknown.
+    /// Requests that failed with a broken connection or have an unknown outcome.
     pub lost: u64,
     /// Median latency of those served, in milliseconds.
     pub p50_ms: f64,
@@ -99,23 +99,26 @@
     pub p99_ms: f64,
     /// Mean share of the data over all answers.
     pub coverage: f64,
-    /// Requests that the busiest backend server got.
+    /// Requests that the busiest backend server started in this second.
     pub busiest: u64,
-    /// Requests that all backend servers got.
+    /// Requests that all backend servers started in this second.
     pub backend_requests: u64,
 }
 
-/// Sums up a run.
-pub fn sum_up(scenario: &Scenario, outcome: &Outcome) -> Report {
-    let counted: Vec<&Sample> = outcome
+/// Computes the report of a run.
+pub fn summarise(scenario: &Scenario, outcome: &Outcome) -> Report {
+    let measured: Vec<&Sample> = outcome
         .samples
         .iter()
         .filter(|sample| sample.due.as_secs() >= scenario.warmup_seconds)
         .collect();
-    let streams = scenario.streams.iter().enumerate().map(|(at, stream)| {
+    let streams = scenario.streams.iter().enumerate().map(|(index, stream)| {
         let name = format!("{} {}", stream.service, stream.caller);
-        let own = counted.iter().copied().filter(|sample| sample.stream == at);
-        sum_stream(name, own)
+        let own = measured
+            .iter()
+            .copied()
+            .filter(|sample| sample.stream == index);
+        summarise_stream(name, own)
     });
     let marks = scenario.faults.iter().map(|timed| {
         let text = serde_json::to_string(&timed.fault).unwrap_or_default();
@@ -124,13 +127,13 @@
     Report {
         title: scenario.title.clone(),
         streams: streams.collect(),
-        backends: sum_backends(&outcome.samples, &outcome.counts),
-        seconds: sum_seconds(scenario, outcome),
+        backends: summarise_backends(&outcome.samples, &outcome.counts),
+        seconds: summarise_seconds(scenario, outcome),
         marks: marks.collect(),
     }
 }
 
-fn sum_stream<'a, I>(name: String, samples: I) -> Stream
+fn summarise_stream<'a, I>(name: String, samples: I) -> Stream
 where
     I: Iterator<Item = &'a Sample>,
 {
@@ -182,7 +185,7 @@
     stream
 }
 
-fn sum_backends(samples: &[Sample], counts: &[Counts]) -> Backends {
+fn summarise_backends(samples: &[Sample], counts: &[Counts]) -> Backends {
     let Some(last) = counts.last() else {
         return Backends::default();
     };
@@ -198,13 +201,13 @@
         sum.cancelled += count.cancelled;
         sum.doubled += count.actions.values().filter(|runs| **runs > 1).count() as u64;
     }
-    sum.needed = samples.iter().map(needed).sum();
+    sum.needed = samples.iter().map(needed_requests).sum();
     sum.extra = sum.requests as f64 / sum.needed.max(1) as f64 - 1.0;
     sum
 }
 
-/// Requests to backend servers that one answer needs.
-fn needed(sample: &Sample) -> u64 {
+/// Number of requests to backend servers that the answer to a request needs.
+fn needed_requests(sample: &Sample) -> u64 {
     match &sample.end {
         End::Answered { shards, .. } => *shards,
         End::Ran => 1,
@@ -212,7 +215,7 @@
     }
 }
 
-fn sum_seconds(scenario: &Scenario, outcome: &Outcome) -> Vec<Second> {
+fn summarise_seconds(scenario: &Scenario, outcome: &Outcome) -> Vec<Second> {
     let mut seconds = vec![Second::default(); scenario.seconds as usize];
     let mut latencies: Vec<Latencies> = seconds.iter().map(|_| Latencies::new()).collect();
     for sample in &outcome.samples {
@@ -241,7 +244,10 @@
         second.p50_ms = latencies[at].quantile(0.5);
         second.p99_ms = latencies[at].quantile(0.99);
         if let (Some(from), Some(to)) = (outcome.counts.get(at), outcome.counts.get(at + 1)) {
-            let loads = to.backends.iter().map(|(name, to)| grown(from, name, to));
+            let loads = to
+                .backends
+                .iter()
+                .map(|(name, to)| requests_since(from, name, to));
             let loads: Vec<u64> = loads.collect();
             second.busiest = loads.iter().copied().max().unwrap_or(0);
             second.backend_requests = loads.iter().sum();
@@ -250,26 +256,28 @@
     seconds
 }
 
-fn grown(from: &Counts, name: &str, to: &Count) -> u64 {
+/// Requests that the backend server `name` started between two readings of its counters.
+fn requests_since(from: &Counts, name: &str, to: &BackendCounts) -> u64 {
     let before = from.backends.get(name).map_or(0, |count| count.requests);
     to.requests.saturating_sub(before)
 }
 
-/// A histogram of latencies.
+/// A histogram of latencies in microseconds; none if it can't be created.
 struct Latencies(Option<Histogram<u64>>);
 
 impl Latencies {
     fn new() -> Self {
-        Self(Histogram::new(DIGITS).ok())
+        Self(Histogram::new(SIGNIFICANT_DIGITS).ok())
     }
 
     fn record(&mut self, sample: &Sample) {
         if let Some(histogram) = &mut self.0 {
-            // It grows by itself, hence can't be too small.
+            // Can't fail: the histogram resizes to hold any value.
             let _ = histogram.record(sample.latency.as_micros() as u64);
         }
     }
 
+    /// A quantile in milliseconds.
     fn quantile(&self, quantile: f64) -> f64 {
         let histogram = self.0.as_ref();
         histogram.map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1e3)
@@ -277,7 +285,7 @@
 }
 
 impl Report {
-    /// The report as a table for people.
+    /// The report as a text table.
     pub fn table(&self) -> String {
         let mut text = format!("{}\n", self.title);
         let _ = writeln!(
@@ -304,7 +312,7 @@
         text
     }
 
-    /// This report's figures as ratios to those of a baseline.
+    /// Ratios of this report's figures to those of a baseline, for streams at the same position.
     pub fn ratios(&self, baseline: &Self) -> String {
         let mut text = String::from("ratios to the baseline (p99, coverage, served):\n");
         for (own, base) in self.streams.iter().zip(&baseline.streams) {
@@ -322,6 +330,7 @@
 }
 
 impl Stream {
+    /// Appends the stream's row, and a line for each kind of failure that occurred.
     fn write(&self, text: &mut String) {
         let full = self.full as f64 * 100.0 / self.served.max(1) as f64;
         let _ = writeln!(
--- a/crates/lentillift-load/src/run.rs
+++ b/crates/lentillift-load/src/run.rs
@@ -1,4 +1,4 @@
-//! A load run: arrivals in, samples out.
+//! Runs a scenario: sends each request when it is due and records how it ended.
 
 use crate::arrival;
 use crate::arrival::Arrival;
@@ -24,56 +24,57 @@
 use std::time::Instant;
 use ureq::Agent;
 
-/// Requests that are under way at a time at most; more arrivals wait, which their latency shows.
+/// Number of client threads, which limits the requests in flight. Arrivals beyond it wait for a
+/// client, and their wait counts in their latency.
 const CLIENTS: usize = 256;
 
-/// Time over a request's allowance after which its client gives up.
-const GRACE: Duration = Duration::from_secs(1);
+/// Time beyond a request's allowance after which its client gives up.
+const CLIENT_GRACE: Duration = Duration::from_secs(1);
 
-/// How often the balancer looks at the processes.
-const CHECK: Duration = Duration::from_millis(100);
+/// Interval between readiness checks of the balancer, and between checks whether progress is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for all processes to be ready.
-const READY: Duration = Duration::from_secs(15);
+/// Longest wait for all processes to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often it is told how far the run is.
-const TELL: Duration = Duration::from_secs(5);
+/// Interval between reports of progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between a failed connection and a try at another process, as a balancer does it.
-const RECONNECT: Duration = Duration::from_millis(20);
+/// Delay between a refused connection and the attempt at another process, as load balancers do it.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// What a load run gave.
+/// Results of a load run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What became of each request.
+    /// How each request ended, in the order in which they ended.
     pub samples: Vec<Sample>,
-    /// What the stand-ins had seen, at the end of each second.
+    /// Counters of the stand-ins: at the start, after each second, and at the end of the run.
     pub counts: Vec<Counts>,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// Time since the start of the load.
-    pub after: Duration,
-    /// Requests that ended.
+    pub elapsed: Duration,
+    /// Requests that have ended.
     pub ended: usize,
-    /// Requests of the whole run.
+    /// Requests in the whole run.
     pub requests: usize,
 }
 
-/// Runs a scenario against the processes whose files are in `hosts`; tells every few seconds, and at
-/// the end, how far it is.
+/// Runs a scenario against the processes whose files are in `hosts`, after at least `processes` of
+/// them are ready; calls `report_progress` every few seconds and at the end.
 ///
 /// # Errors
 ///
-/// When the stand-ins can't be driven or the processes don't get ready.
+/// When the stand-ins' control interface can't be reached or the processes don't become ready.
 pub fn run<T>(
     scenario: &Scenario,
     control: &Control,
     hosts: &Path,
     processes: usize,
-    tell: T,
+    report_progress: T,
 ) -> anyhow::Result<Outcome>
 where
     T: Fn(Progress) + Sync,
@@ -81,7 +82,7 @@
     let balancer = Balancer::new(hosts);
     await_ready(&balancer, control, processes)?;
     let arrivals = arrival::draw(scenario);
-    let load = Load {
+    let load = Run {
         scenario,
         arrivals: &arrivals,
         balancer: &balancer,
@@ -90,21 +91,21 @@
         next: AtomicUsize::new(0),
         samples: Mutex::new(Vec::with_capacity(arrivals.len())),
     };
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     let counts = thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
-            .map(|_| scope.spawn(|| load.client()))
+            .map(|_| scope.spawn(|| load.run_client()))
             .collect();
-        let faults = scope.spawn(|| bring_about(scenario, control, load.start));
-        let checks = scope.spawn(|| watch(&balancer, control, &over));
-        let counts = scope.spawn(|| count(control, load.start, &over));
-        let told = scope.spawn(|| load.tell(&over, &tell));
+        let faults = scope.spawn(|| inject_faults(scenario, control, load.start));
+        let checks = scope.spawn(|| refresh_until(&balancer, control, &finished));
+        let counts = scope.spawn(|| collect_counts(control, load.start, &finished));
+        let progress = scope.spawn(|| load.report_progress(&finished, &report_progress));
         for client in clients {
             let _ = client.join();
         }
-        over.store(true, Ordering::Relaxed);
+        finished.store(true, Ordering::Relaxed);
         let _ = checks.join();
-        let _ = told.join();
+        let _ = progress.join();
         let failed = faults.join().unwrap_or(Ok(()));
         failed.map(|()| counts.join().unwrap_or_default())
     })?;
@@ -128,17 +129,21 @@
 fn await_ready(balancer: &Balancer, control: &Control, processes: usize) -> anyhow::Result<()> {
     let since = Instant::now();
     loop {
-        balancer.check(control)?;
-        if balancer.ready() >= processes {
+        balancer.refresh(control)?;
+        if balancer.ready_count() >= processes {
             return Ok(());
         }
-        let ready = balancer.ready();
-        anyhow::ensure!(since.elapsed() < READY, "{ready} of {processes} are ready");
-        thread::sleep(CHECK);
+        let ready = balancer.ready_count();
+        anyhow::ensure!(
+            since.elapsed() < READY_TIMEOUT,
+            "only {ready} of {processes} processes became ready"
+        );
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-fn bring_about(scenario: &Scenario, control: &Control, start: Instant) -> anyhow::Result<()> {
+/// Injects the scenario's faults when they are due.
+fn inject_faults(scenario: &Scenario, control: &Control, start: Instant) -> anyhow::Result<()> {
     for timed in &scenario.faults {
         let due = start + Duration::from_secs_f64(timed.at);
         thread::sleep(due.saturating_duration_since(Instant::now()));
@@ -147,17 +152,19 @@
     Ok(())
 }
 
-fn watch(balancer: &Balancer, control: &Control, over: &AtomicBool) {
-    while !over.load(Ordering::Relaxed) {
-        // A process that can't be asked counts as not ready; the next check may find it again.
-        let _ = balancer.check(control);
-        thread::sleep(CHECK);
+/// Refreshes the balancer until the run is `finished`.
+fn refresh_until(balancer: &Balancer, control: &Control, finished: &AtomicBool) {
+    while !finished.load(Ordering::Relaxed) {
+        // After an error the processes known so far stay in use; the next refresh tries again.
+        let _ = balancer.refresh(control);
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-fn count(control: &Control, start: Instant, over: &AtomicBool) -> Vec<Counts> {
+/// Reads the counters of the stand-ins once a second, and once more when the run is `finished`.
+fn collect_counts(control: &Control, start: Instant, finished: &AtomicBool) -> Vec<Counts> {
     let mut counts = Vec::new();
-    while !over.load(Ordering::Relaxed) {
+    while !finished.load(Ordering::Relaxed) {
         let due = start + Duration::from_secs(counts.len() as u64);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         counts.push(control.counts().unwrap_or_default());
@@ -166,8 +173,8 @@
     counts
 }
 
-/// A load run under way.
-struct Load<'a> {
+/// A load run in progress, shared by its client threads.
+struct Run<'a> {
     scenario: &'a Scenario,
     arrivals: &'a [Arrival],
     balancer: &'a Balancer,
@@ -177,41 +184,41 @@
     samples: Mutex<Vec<Sample>>,
 }
 
-impl Load<'_> {
-    /// Tells how far the run is until it is `over`.
-    fn tell<T>(&self, over: &AtomicBool, tell: &T)
+impl Run<'_> {
+    /// Calls `report` at intervals until the run is `finished`, and once more then.
+    fn report_progress<T>(&self, finished: &AtomicBool, report: &T)
     where
         T: Fn(Progress),
     {
-        let mut due = self.start + TELL;
-        while !over.load(Ordering::Relaxed) {
-            thread::sleep(CHECK);
+        let mut due = self.start + PROGRESS_INTERVAL;
+        while !finished.load(Ordering::Relaxed) {
+            thread::sleep(CHECK_INTERVAL);
             if Instant::now() >= due {
-                due += TELL;
-                tell(self.progress());
+                due += PROGRESS_INTERVAL;
+                report(self.progress());
             }
         }
-        tell(self.progress());
+        report(self.progress());
     }
 
     fn progress(&self) -> Progress {
         let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
         Progress {
-            after: self.start.elapsed(),
+            elapsed: self.start.elapsed(),
             ended: samples.len(),
             requests: self.arrivals.len(),
         }
     }
 
-    /// Takes arrivals one after the other until there are no more.
-    fn client(&self) {
+    /// Takes the next arrival, waits until it is due, sends it and records its end, until none is left.
+    fn run_client(&self) {
         while let Some(arrival) = self.arrivals.get(self.next.fetch_add(1, Ordering::Relaxed)) {
             let due = self.start + arrival.due;
             thread::sleep(due.saturating_duration_since(Instant::now()));
             let stream = &self.scenario.streams[arrival.stream];
             let end = match stream.once {
-                true => self.once(stream, arrival.key),
-                false => self.query(stream, arrival.key),
+                true => self.send_action(stream, arrival.key),
+                false => self.send_query(stream, arrival.key),
             };
             let sample = Sample {
                 due: arrival.due,
@@ -224,13 +231,15 @@
         }
     }
 
-    fn query(&self, stream: &Stream, key: u64) -> End {
+    /// Sends a query.
+    fn send_query(&self, stream: &Stream, key: u64) -> End {
         let body = format!(r#"{{"q":"name {key}","limit":10}}"#);
         let reply = self.post(stream, "query", None, &body);
         reply.map_or_else(End::Broken, |reply| reply.end())
     }
 
-    fn once(&self, stream: &Stream, key: u64) -> End {
+    /// Requests an id, and sends with it an action that may run at most once.
+    fn send_action(&self, stream: &Stream, key: u64) -> End {
         let issued = match self.post(stream, "ids", None, "") {
             Ok(issued) if issued.status == 200 => issued,
             Ok(refused) => return refused.end(),
@@ -244,6 +253,8 @@
         reply.map_or_else(End::Broken, |reply| reply.end())
     }
 
+    /// Sends a request to a process that the balancer picks, and to another if it refuses the
+    /// connection.
     fn post(
         &self,
         stream: &Stream,
@@ -253,9 +264,9 @@
     ) -> Result<Reply, String> {
         let entry = self.balancer.pick().ok_or("no process is ready")?;
         match self.post_to(entry, stream, verb, id, body) {
-            // A balancer goes to another process when it can't connect.
+            // A load balancer picks another process when the connection is refused.
             Err(ureq::Error::Io(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                thread::sleep(RECONNECT);
+                thread::sleep(RECONNECT_DELAY);
                 let entry = self.balancer.pick().ok_or("no process is ready")?;
                 self.post_to(entry, stream, verb, id, body)
             }
@@ -282,7 +293,9 @@
         if let Some(id) = id {
             request = request.header("idempotency-key", id);
         }
-        let request = request.config().timeout_global(Some(allowance + GRACE));
+        let request = request
+            .config()
+            .timeout_global(Some(allowance + CLIENT_GRACE));
         let mut response = request.build().send(body)?;
         let header = response.headers().get("x-outcome");
         let outcome = header.and_then(|outcome| outcome.to_str().ok());
@@ -296,7 +309,7 @@
     }
 }
 
-/// A process's reply.
+/// Status, `x-outcome` header and JSON body of a response.
 struct Reply {
     status: u16,
     outcome: String,
@@ -304,6 +317,7 @@
 }
 
 impl Reply {
+    /// How the request ended, by its response.
     fn end(&self) -> End {
         let cause = || self.body["cause"].as_str().unwrap_or("refused").to_owned();
         match (self.status, self.outcome.as_str()) {
@@ -311,12 +325,13 @@
             (200, _) => End::Ran,
             (_, "not-run") => End::Refused(cause()),
             (_, "unknown") => End::Unknown,
-            // A query that was refused for its coverage, or ran in part.
+            // A query that ran, at least in part, and was refused because its coverage was too low.
             (_, "done") => End::Refused(cause()),
             (status, _) => End::Broken(format!("status {status}")),
         }
     }
 
+    /// The end of a query that was answered, with its coverage.
     fn answered(&self) -> End {
         let coverage = &self.body["coverage"];
         let mut missing = BTreeMap::new();
--- a/crates/lentillift-load/src/sample.rs
+++ b/crates/lentillift-load/src/sample.rs
@@ -1,40 +1,40 @@
-//! What became of one request.
+//! The end and the latency of one request.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What became of one request.
+/// A request of a load run, with its latency and how it ended.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Sample {
-    /// When the request was due, from the start of the run.
+    /// Time at which the request was due, from the start of the run.
     pub due: Duration,
-    /// Position of its stream in the scenario.
+    /// Index of its stream in the scenario.
     pub stream: usize,
-    /// Time from when it was due to its answer.
+    /// Time from when the request was due to its end.
     pub latency: Duration,
-    /// What came of it.
+    /// How it ended.
     pub end: End,
 }
 
 /// How a request ended, as its caller saw it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum End {
-    /// It was answered.
+    /// A query was answered, in full or in part.
     Answered {
-        /// Share of the data that the answer covers.
+        /// Share of the data that the answer covers, 0 to 1.
         coverage: f64,
-        /// Shards of the answer's snapshot.
+        /// Number of shards in the answer's snapshot.
         shards: u64,
-        /// Why shards are missing, with how many.
+        /// Number of missing shards, by reason.
         missing: BTreeMap<String, u64>,
     },
-    /// A request that may run at most once ran.
+    /// An action, which may run at most once, ran.
     Ran,
-    /// It was refused, and nothing ran.
+    /// It was refused, for the given cause.
     Refused(String),
-    /// Its outcome is unknown.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// The connection broke or the answer made no sense.
+    /// The connection broke or the response was malformed, with the error.
     Broken(String),
 }
--- a/crates/lentillift-load/src/scenario.rs
+++ b/crates/lentillift-load/src/scenario.rs
@@ -1,74 +1,74 @@
-//! What a load run does.
+//! The input of a load run: streams of requests, and faults.
 
 use lentillift_standin::fault::Fault;
 use serde::Deserialize;
 
-/// What a load run does.
+/// A load run, read from a JSON file with comments.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the scenario shows, in a line.
+    /// Title of the report, in one line.
     pub title: String,
-    /// How long the load lasts, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Seconds at the start that don't count: cold servers warm up.
+    /// Seconds at the start that are left out of the streams' figures, while cold servers warm up.
     #[serde(default)]
     pub warmup_seconds: u64,
-    /// Seed of all random numbers.
+    /// Seed of all random numbers; stream `n` uses `seed + n`.
     #[serde(default)]
     pub seed: u64,
-    /// The streams of requests.
+    /// Streams of requests, which run at the same time.
     pub streams: Vec<Stream>,
-    /// Faults in the order of their time.
+    /// Faults to inject, sorted by time.
     #[serde(default)]
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
 }
 
 /// One caller's requests to one service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stream {
-    /// The service.
+    /// Service that the requests are sent to.
     pub service: String,
-    /// The caller.
+    /// Caller that the requests are sent as.
     pub caller: String,
-    /// Requests per second, on average.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Time allowance, in milliseconds.
+    /// Time allowance of each request, in milliseconds.
     pub allowance_ms: u64,
-    /// How many different queries there are.
+    /// Number of distinct queries.
     #[serde(default = "one")]
     pub keys: u64,
-    /// Exponent of the Zipf distribution of the queries; 0 makes all equally frequent.
+    /// Exponent of the Zipf distribution of the queries; 0 makes all of them equally frequent.
     #[serde(default)]
     pub zipf: f64,
-    /// A time at which the rate is higher.
+    /// A period in which the rate is different, if any.
     #[serde(default)]
     pub burst: Option<Burst>,
-    /// Whether these are requests that may run at most once.
+    /// Whether the requests are actions, which may run at most once, instead of queries.
     #[serde(default)]
     pub once: bool,
 }
 
-/// A time at which a stream's rate is higher.
+/// A period in which a stream's rate is multiplied.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins, in seconds.
+    /// Start, in seconds from the start of the run.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// How many times higher the rate is.
+    /// Factor by which the rate is multiplied.
     pub factor: f64,
 }
 
-/// A fault at its time.
+/// A fault and the time at which it is injected.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Timed {
-    /// When, in seconds from the start.
+pub struct TimedFault {
+    /// Time in seconds from the start of the run.
     pub at: f64,
-    /// What.
+    /// The fault, as the stand-ins' control interface takes it.
     pub fault: Fault,
 }
 
--- a/crates/lentillift-load/tests/arrival.rs
+++ b/crates/lentillift-load/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! Arrivals are drawn beforehand: the same for each run of a scenario, and at the rates it names.
+//! Arrivals drawn from a scenario: reproducible, at the scenario's rates and key frequencies.
 
 use lentillift_load::arrival;
 use lentillift_load::arrival::Arrival;
@@ -29,26 +29,27 @@
     due.count()
 }
 
-/// Two runs that are compared must ask the same at the same times, or their difference shows the
-/// draw and not what was changed.
+/// Runs that are compared must send the same requests at the same times; otherwise their difference
+/// comes from the random draw and not from the change under test.
 #[test]
 fn the_same_seed_draws_the_same_arrivals() {
     assert_eq!(draw(), draw());
 }
 
 #[test]
-fn rates_are_those_of_the_scenario() {
+fn rates_follow_the_scenario() {
     let arrivals = draw();
     assert!(arrivals.is_sorted_by_key(|arrival| arrival.due));
-    // Within a tenth of 1,000 and 5,000; the seed is fixed.
+    // Within 10% of 1,000 and of 5,000 arrivals; the fixed seed makes the counts reproducible.
     assert!((900..1100).contains(&between(&arrivals, 0, 10)));
     assert!((4500..5500).contains(&between(&arrivals, 10, 20)));
     assert!((900..1100).contains(&between(&arrivals, 20, 30)));
 }
 
-/// Of a thousand keys by Zipf's law with exponent 1 the first gets 13% and the second half of that.
+/// With 1,000 keys and a Zipf exponent of 1, the first key gets 13% of the requests and the second
+/// half of that.
 #[test]
-fn frequent_keys_are_as_frequent_as_zipf_says() {
+fn key_frequencies_follow_the_zipf_distribution() {
     let arrivals = draw();
     let share = |key| {
         let same = arrivals.iter().filter(|arrival| arrival.key == key).count();
--- a/crates/lentillift-operator/src/board.rs
+++ b/crates/lentillift-operator/src/board.rs
@@ -106,8 +106,8 @@
     }
 
     /// Sets whether this process holds the leases that it needs; until then it is not ready.
-    pub fn set_leases_ready(&self, settled: bool) {
-        self.update(|state| state.leases_pending = !settled);
+    pub fn set_leases_ready(&self, ready: bool) {
+        self.update(|state| state.leases_pending = !ready);
     }
 
     /// Updates the state, and adds an event to the time line if readiness changed.
--- a/crates/lentillift/src/command/load.rs
+++ b/crates/lentillift/src/command/load.rs
@@ -51,16 +51,16 @@
     options.optopt("", "baseline", "compare with the report in FILE", "FILE");
 }
 
-/// Shows how far the run is; apart from the report, so that both can be read by machine.
-fn tell(progress: Progress) {
+/// Prints the progress to standard error, so that a script can read the report apart from it.
+fn print_progress(progress: Progress) {
     let Progress {
-        after,
+        elapsed,
         ended,
         requests,
     } = progress;
     eprintln!(
         "{} s: {ended} of {requests} requests ended",
-        after.as_secs()
+        elapsed.as_secs()
     );
 }
 
@@ -73,8 +73,14 @@
         .map_err(|e| Usage(format!("--control: {e}")))?;
     let hosts: PathBuf = matches.opt_get("hosts")?.context("--hosts")?;
     let processes = matches.opt_get_default("processes", 1)?;
-    let outcome = run::run(&scenario, &Control::new(control), &hosts, processes, tell)?;
-    let report = report::sum_up(&scenario, &outcome);
+    let outcome = run::run(
+        &scenario,
+        &Control::new(control),
+        &hosts,
+        processes,
+        print_progress,
+    )?;
+    let report = report::summarise(&scenario, &outcome);
     if let Some(file) = matches.opt_str("html") {
         std::fs::write(&file, html::render(&report)).context(file)?;
     }
