--- a/crates/lentillift-load/src/balancer.rs
+++ b/crates/lentillift-load/src/balancer.rs
@@ -117,7 +117,7 @@
 fn host_entry(name: &str, process: &Process) -> anyhow::Result<Host> {
     let (host, domain) = name
         .split_once('@')
-        .with_context(|| format!("{name}.json: file name must be HOST@DOMAIN.json"))?;
+        .context("file name must be HOST@DOMAIN.json")?;
     Ok(Host {
         host: host.to_owned(),
         domain: domain.to_owned(),
