--- a/crates/lentillift/src/demo/fleet.rs
+++ b/crates/lentillift/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet on loopback: platform, backend servers and three processes of the system.
+//! The fleet of the demonstration, on loopback: a platform, backend servers and three processes.
 
 use anyhow::Context;
 use lentillift_core::id;
@@ -15,30 +15,30 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Processes of the system.
+/// Number of processes.
 const NODES: u32 = 3;
 
-/// One of the users' boards, as its example configures it.
+/// An example configuration, with the services that the demonstration uses.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Board {
-    /// Its name.
+pub(crate) struct Example {
+    /// Name of the example.
     pub(crate) name: &'static str,
     config: &'static str,
-    /// Services with more than two backend servers, and how many.
+    /// Services with more than two backend servers, and how many they have.
     large: &'static [(&'static str, u32)],
-    /// The service that is searched here.
+    /// Service that the queries go to.
     pub(crate) search: &'static str,
-    /// Its shards, each on two backend servers.
+    /// Number of shards of that service, each on two backend servers.
     pub(crate) shards: u32,
-    /// The service whose requests may not be repeated.
+    /// Service of the actions, which must not be repeated.
     pub(crate) action: &'static str,
-    /// A caller.
+    /// Caller that the requests are sent as.
     pub(crate) caller: &'static str,
 }
 
-/// The boards of the examples.
-pub(crate) const BOARDS: [Board; 2] = [
-    Board {
+/// The examples that the demonstration runs, in order.
+pub(crate) const EXAMPLES: [Example; 2] = [
+    Example {
         name: "nafisa",
         config: include_str!("../../../../examples/nafisa.config.json"),
         large: &[("archive", 10), ("press-feed", 4)],
@@ -47,7 +47,7 @@
         action: "submission-01",
         caller: "genealogists",
     },
-    Board {
+    Example {
         name: "kerala",
         config: include_str!("../../../../examples/kerala.config.json"),
         large: &[("download-desk", 10), ("audit-ledger", 5)],
@@ -58,19 +58,20 @@
     },
 ];
 
-/// A running fleet.
+/// A running fleet and its platform.
 pub(crate) struct Fleet {
     /// Where callers connect, one address for each process.
     pub(crate) callers: Vec<SocketAddr>,
     /// Where operators connect, one address for each process.
     pub(crate) operators: Vec<SocketAddr>,
-    /// The platform's side.
+    /// The platform's stand-in and the backend servers.
     pub(crate) running: Running,
     daemons: Vec<Daemon>,
     _stop: watch::Sender<bool>,
 }
 
-impl Board {
+impl Example {
+    /// The stand-ins' world for this example.
     fn world(&self) -> anyhow::Result<World> {
         let config: Config = serde_json::from_str(self.config).context(self.name)?;
         let services = config.services.iter();
@@ -102,12 +103,14 @@
 }
 
 impl Fleet {
-    /// Starts all parts and publishes the configuration.
-    pub(crate) async fn start(board: &Board) -> anyhow::Result<Self> {
+    /// Starts the platform, the backend servers and the processes, and publishes the configuration.
+    ///
+    /// One backend server is slow at times, and one cannot be reached.
+    pub(crate) async fn start(example: &Example) -> anyhow::Result<Self> {
         let (stop, stopped) = watch::channel(false);
-        let mut running = board.world()?.start(&stopped).await?;
-        slow_one(&running, board)?;
-        lose_one(&mut running, board)?;
+        let mut running = example.world()?.start(&stopped).await?;
+        make_one_slow(&running, example)?;
+        make_one_unreachable(&mut running, example)?;
         let mut fleet = Self {
             callers: Vec::new(),
             operators: Vec::new(),
@@ -139,7 +142,7 @@
         self.daemons.iter().all(|daemon| daemon.board.is_ready())
     }
 
-    /// Ends all processes of the system.
+    /// Stops all processes of the fleet.
     pub(crate) async fn stop(self) {
         for daemon in self.daemons {
             daemon.stop().await;
@@ -147,9 +150,9 @@
     }
 }
 
-/// Makes every tenth request of one backend server slow.
-fn slow_one(running: &Running, board: &Board) -> anyhow::Result<()> {
-    let name = format!("{}-0", board.search);
+/// Makes every tenth request to one backend server slow.
+fn make_one_slow(running: &Running, example: &Example) -> anyhow::Result<()> {
+    let name = format!("{}-0", example.search);
     let backend = running.backends.get(name.as_str()).context(name)?;
     backend.set(|behavior| {
         behavior.slow_every = 10;
@@ -158,26 +161,28 @@
     Ok(())
 }
 
-/// Publishes an address where nobody listens, as with a replica that died: port 1 of loopback.
-fn lose_one(running: &mut Running, board: &Board) -> anyhow::Result<()> {
-    let name = format!("{}-1", board.search);
-    let placed = running.place(board.search, |placement| {
+/// Publishes an address without a listener (port 1 of loopback) for one backend server, as if that
+/// replica had crashed.
+fn make_one_unreachable(running: &mut Running, example: &Example) -> anyhow::Result<()> {
+    let name = format!("{}-1", example.search);
+    let placed = running.place(example.search, |placement| {
         if let Some(server) = placement.servers.get_mut(name.as_str()) {
             server.address = SocketAddr::from(([127, 0, 0, 1], 1));
         }
     });
-    anyhow::ensure!(placed, "no service {}", board.search);
+    anyhow::ensure!(placed, "no placement for service {}", example.search);
     Ok(())
 }
 
+/// Settings of one process; the system picks its ports.
 fn settings(number: u32, platform_address: SocketAddr) -> Settings {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         host: format!("host-{number}").into(),
         domain: format!("d{}", number + 1).into(),
-        caller_address: any,
-        node_address: any,
-        operator_address: any,
+        caller_address: any_port,
+        node_address: any_port,
+        operator_address: any_port,
         platform_address,
         seeds: Vec::new(),
     }
--- a/crates/lentillift/src/demo/mod.rs
+++ b/crates/lentillift/src/demo/mod.rs
@@ -1,11 +1,12 @@
-//! A small fleet on loopback that is asked a few hundred times, and an account of what happened.
+//! `lentillift demo`: runs a small fleet on loopback, sends it a few hundred requests, and checks the
+//! results.
 
 mod fleet;
 
 use crate::exit::Exit;
 use anyhow::Context;
-use fleet::BOARDS;
-use fleet::Board;
+use fleet::EXAMPLES;
+use fleet::Example;
 use fleet::Fleet;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -15,18 +16,18 @@
 use tokio::runtime::Runtime;
 use ureq::Agent;
 
-/// Queries that are asked.
+/// Number of queries sent to each example.
 const QUERIES: usize = 200;
 
 /// Time allowance of each request, in milliseconds.
 const ALLOWANCE_MS: u64 = 500;
 
-/// Longest wait for the fleet to be ready.
-const READY: Duration = Duration::from_secs(10);
+/// Longest wait for the fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs the demonstration; it fails unless everything was as it should be.
+/// Runs the demonstration; fails if any check fails.
 ///
-/// With `--hold` the last board's fleet goes on until the process is interrupted.
+/// With `--hold`, the fleet of the last example keeps running until the process is interrupted.
 pub(crate) fn run(arguments: &[String]) -> ExitCode {
     let hold = match arguments {
         [] => false,
@@ -48,25 +49,25 @@
 
 fn try_run(hold: bool) -> anyhow::Result<usize> {
     let runtime = tokio::runtime::Runtime::new()?;
-    let mut account = Account::default();
-    for (number, board) in BOARDS.iter().enumerate() {
-        let fleet = runtime.block_on(Fleet::start(board))?;
-        account.show(board, &fleet)?;
-        let last = number + 1 == BOARDS.len();
+    let mut results = Results::default();
+    for (number, example) in EXAMPLES.iter().enumerate() {
+        let fleet = runtime.block_on(Fleet::start(example))?;
+        results.run_example(example, &fleet)?;
+        let last = number + 1 == EXAMPLES.len();
         if last && hold {
-            hold_on(&runtime, &fleet)?;
+            wait_for_interrupt(&runtime, &fleet)?;
         }
         runtime.block_on(fleet.stop());
     }
-    println!("{}", account.summary());
-    Ok(account.violations.len())
+    println!("{}", results.summary());
+    Ok(results.violations.len())
 }
 
 /// Keeps a fleet running until the process is interrupted.
-fn hold_on(runtime: &Runtime, fleet: &Fleet) -> anyhow::Result<()> {
+fn wait_for_interrupt(runtime: &Runtime, fleet: &Fleet) -> anyhow::Result<()> {
     println!("Callers connect to {:?}.", fleet.callers);
     println!("Operators connect to {:?}.", fleet.operators);
-    println!("Interrupt to end.");
+    println!("Press Ctrl-C to stop.");
     runtime.block_on(tokio::signal::ctrl_c())?;
     Ok(())
 }
@@ -74,7 +75,10 @@
 fn await_ready(fleet: &Fleet) -> anyhow::Result<()> {
     let since = Instant::now();
     while !fleet.is_ready() {
-        anyhow::ensure!(since.elapsed() < READY, "the fleet did not get ready");
+        anyhow::ensure!(
+            since.elapsed() < READY_TIMEOUT,
+            "the fleet did not become ready"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     Ok(())
@@ -88,9 +92,9 @@
         .into()
 }
 
-/// What the demonstration saw.
+/// Results of the demonstration.
 #[derive(Default)]
-struct Account {
+struct Results {
     snapshot: u64,
     shards: u64,
     answered: u64,
@@ -99,18 +103,18 @@
     violations: Vec<String>,
 }
 
-impl Account {
-    /// Asks a board's fleet and tells what happened.
-    fn show(&mut self, board: &Board, fleet: &Fleet) -> anyhow::Result<()> {
+impl Results {
+    /// Sends requests to the fleet of an example, and prints and checks the results.
+    fn run_example(&mut self, example: &Example, fleet: &Fleet) -> anyhow::Result<()> {
         println!(
-            "{}: started a platform, {} backend servers and {} processes of the system.",
-            board.name,
+            "{}: started a platform, {} backend servers and {} processes.",
+            example.name,
             fleet.running.backends.len(),
             fleet.callers.len()
         );
         println!(
-            "{}: of {}, server 0 is slow at times and server 1 is lost.",
-            board.name, board.search
+            "{}: of {}, server 0 is slow at times and server 1 cannot be reached.",
+            example.name, example.search
         );
         await_ready(fleet)?;
         let agent = agent();
@@ -118,101 +122,119 @@
         let before = std::mem::take(&mut self.latencies);
         for number in 0..QUERIES {
             let entry = fleet.callers[number % fleet.callers.len()];
-            self.query(&agent, board, entry, number)?;
+            self.send_query(&agent, example, entry, number)?;
         }
-        self.report_queries(board);
+        self.report_queries(example);
         self.latencies.extend(before);
-        self.action(&agent, board, fleet)?;
+        self.check_action(&agent, example, fleet)?;
         self.check_backends(fleet);
         Ok(())
     }
 
-    fn query(
+    /// Sends one query and checks its answer.
+    fn send_query(
         &mut self,
         agent: &Agent,
-        board: &Board,
+        example: &Example,
         entry: SocketAddr,
         number: usize,
     ) -> anyhow::Result<()> {
         let started = Instant::now();
         let mut response = agent
-            .post(format!("http://{entry}/v1/services/{}/query", board.search))
-            .header("x-caller", board.caller)
+            .post(format!(
+                "http://{entry}/v1/services/{}/query",
+                example.search
+            ))
+            .header("x-caller", example.caller)
             .header("x-allowance-ms", ALLOWANCE_MS.to_string())
-            // Each asks for something else, or an answer that was kept would do.
+            // Each query is different; otherwise most would be answered from the cache.
             .send(format!(r#"{{"q":"Amina {number}","limit":10}}"#))?;
         self.latencies.push(started.elapsed());
         let status = response.status();
         let body = response.body_mut().read_to_string()?;
         if status != 200 {
-            self.violate(format!("a query got {status}: {body}"));
+            self.record_violation(format!("a query got {status}: {body}"));
             return Ok(());
         }
         let answer: Value = serde_json::from_str(&body)?;
         let coverage = &answer["coverage"];
         let missing = coverage["missing"]
             .as_array()
-            .context("no list of missing shards")?;
-        self.snapshot = answer["snapshot"].as_u64().context("no snapshot")?;
-        let shards = coverage["shards"].as_u64().context("no shards")?;
-        let answered = coverage["answered"].as_u64().context("no answered")?;
-        // The summary shows the board with the larger search.
+            .context("answer has no list of missing shards")?;
+        self.snapshot = answer["snapshot"]
+            .as_u64()
+            .context("answer has no snapshot")?;
+        let shards = coverage["shards"]
+            .as_u64()
+            .context("answer has no number of shards")?;
+        let answered = coverage["answered"]
+            .as_u64()
+            .context("answer has no number of answered shards")?;
+        // The summary shows the example whose search has more shards.
         if shards >= self.shards {
             (self.shards, self.answered) = (shards, answered);
         }
         self.full += usize::from(missing.is_empty());
         if answered + missing.len() as u64 != shards {
-            self.violate(format!("coverage does not add up: {coverage}"));
+            self.record_violation(format!("coverage does not add up: {coverage}"));
         }
         if answer["hits"]
             .as_array()
             .is_none_or(|hits| hits.len() != 10)
         {
-            self.violate("an answer without its ten hits".to_owned());
+            self.record_violation("an answer does not have ten hits".to_owned());
         }
         Ok(())
     }
 
-    fn report_queries(&mut self, board: &Board) {
+    fn report_queries(&mut self, example: &Example) {
         println!(
-            "{}: asked {QUERIES} queries of {} shards each: {} with full coverage, p50 {:.1} ms, p99 {:.1} ms.",
-            board.name,
-            board.shards,
+            "{}: sent {QUERIES} queries to {} shards each: {} with full coverage, p50 {:.1} ms, p99 {:.1} ms.",
+            example.name,
+            example.shards,
             self.full,
             self.quantile(0.5),
             self.quantile(0.99)
         );
         if self.full * 100 < QUERIES * 99 {
-            self.violate(format!("only {} answers of {QUERIES} were full", self.full));
+            self.record_violation(format!(
+                "only {} of {QUERIES} answers had full coverage",
+                self.full
+            ));
         }
     }
 
-    /// Sends one request twice, by two entries, and looks how often it ran.
-    fn action(&mut self, agent: &Agent, board: &Board, fleet: &Fleet) -> anyhow::Result<()> {
+    /// Sends one action twice with the same id, through two processes, and checks that it ran once.
+    fn check_action(
+        &mut self,
+        agent: &Agent,
+        example: &Example,
+        fleet: &Fleet,
+    ) -> anyhow::Result<()> {
         let first = fleet.callers[0];
         let second = fleet.callers[1];
         let mut issued = agent
-            .post(format!("http://{first}/v1/services/{}/ids", board.action))
-            .header("x-caller", board.caller)
+            .post(format!("http://{first}/v1/services/{}/ids", example.action))
+            .header("x-caller", example.caller)
             .send_empty()?;
         let issued: Value = serde_json::from_str(&issued.body_mut().read_to_string()?)?;
         let key = issued["id"].as_str();
-        let key = key.with_context(|| format!("no id: {issued}"))?;
+        let key = key.with_context(|| format!("response has no id: {issued}"))?;
         for entry in [first, second] {
             let mut response = agent
                 .post(format!(
                     "http://{entry}/v1/services/{}/action",
-                    board.action
+                    example.action
                 ))
-                .header("x-caller", board.caller)
+                .header("x-caller", example.caller)
                 .header("x-allowance-ms", ALLOWANCE_MS.to_string())
                 .header("idempotency-key", key)
                 .send(r#"{"notice":"Amina"}"#)?;
             let outcome = response.headers().get("x-outcome").cloned();
             let body = response.body_mut().read_to_string()?;
-            println!("Sent request {key} by {entry}: {outcome:?} {body}");
+            println!("Sent request {key} to {entry}: {outcome:?} {body}");
             if outcome.is_none_or(|outcome| outcome != "done") {
-                self.violate(format!("request {key} by {entry}: {body}"));
+                self.record_violation(format!("request {key} to {entry}: {body}"));
             }
         }
         let ran: u64 = fleet
@@ -223,25 +245,31 @@
             .sum();
         println!("Request {key} ran {ran} time(s).");
         if ran != 1 {
-            self.violate(format!("request {key} ran {ran} times"));
+            self.record_violation(format!("request {key} ran {ran} times"));
         }
         Ok(())
     }
 
+    /// Checks that no backend server had more requests in flight than it has capacity for.
     fn check_backends(&mut self, fleet: &Fleet) {
         for (name, backend) in &fleet.running.backends {
             let count = backend.count();
             if count.overloads > 0 {
-                self.violate(format!("{name} had {} in flight", count.peak));
+                self.record_violation(format!(
+                    "backend server {name} was overloaded: up to {} requests in flight",
+                    count.peak
+                ));
             }
         }
     }
 
-    fn violate(&mut self, violation: String) {
+    /// Prints and records a failed check.
+    fn record_violation(&mut self, violation: String) {
         println!("VIOLATION: {violation}");
         self.violations.push(violation);
     }
 
+    /// A quantile of all latencies, in milliseconds.
     fn quantile(&self, quantile: f64) -> f64 {
         let mut sorted = self.latencies.clone();
         sorted.sort_unstable();
