--- a/crates/lentillift/src/command.rs
+++ b/crates/lentillift/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands and what they have in common.
+//! The commands, and what they share: parsing, help, errors and output.
 
 pub(crate) mod check;
 pub(crate) mod configure;
@@ -23,25 +23,25 @@
 use std::io::Write as _;
 use std::path::Path;
 
-/// A command.
+/// A subcommand of the tool.
 pub(crate) struct Command {
-    /// Its name.
+    /// Name on the command line.
     pub(crate) name: &'static str,
-    /// What follows its name.
+    /// Arguments after the name, as the usage line shows them.
     pub(crate) arguments: &'static str,
-    /// What it does, in one line.
+    /// Description in one line, for the list of commands.
     pub(crate) summary: &'static str,
-    /// What it does, in a few lines.
+    /// Description in a few lines, for its help.
     pub(crate) about: &'static str,
-    /// Command lines that work, with what each does.
+    /// Example command lines, each with a description.
     pub(crate) examples: &'static [(&'static str, &'static str)],
-    /// Adds its options.
+    /// Adds its options to the common ones.
     pub(crate) options: fn(&mut Options),
-    /// Runs it.
+    /// Runs it with parsed options.
     pub(crate) run: fn(&Matches) -> anyhow::Result<Exit>,
 }
 
-/// All commands but the demonstration.
+/// All commands besides `demo`, in the order of the help.
 pub(crate) const ALL: &[Command] = &[
     init::COMMAND,
     configure::COMMAND,
@@ -57,12 +57,12 @@
     load::COMMAND,
 ];
 
-/// A command line that is wrong.
+/// The command line is wrong; ends with exit code 2.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
-pub(crate) struct Usage(pub(crate) String);
+pub(crate) struct UsageError(pub(crate) String);
 
-/// A process that could not be reached.
+/// A process could not be reached; ends with exit code 3.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub(crate) struct Unreachable(pub(crate) String);
@@ -72,23 +72,24 @@
     pub(crate) fn start(&self, arguments: &[String]) -> Exit {
         let mut options = Options::new();
         options.optflag("h", "help", "show this help");
-        options.optflag("", "json", "write JSON in place of text");
+        options.optflag("", "json", "write JSON instead of text");
         (self.options)(&mut options);
-        // Before anything is checked: who asks for help has not filled in the rest.
+        // Before parsing, which would fail because required options and arguments are missing.
         if arguments.iter().any(|a| a == "--help" || a == "-h") {
             show(&self.help(&options));
             return Exit::Done;
         }
         let matches = match options.parse(arguments) {
             Ok(matches) => matches,
-            Err(error) => return self.misused(&error.to_string()),
+            Err(error) => return self.report_usage_error(&error.to_string()),
         };
         match (self.run)(&matches) {
             Ok(exit) => exit,
-            Err(error) => self.failed(&error, matches.opt_present("json")),
+            Err(error) => self.report_failure(&error, matches.opt_present("json")),
         }
     }
 
+    /// The help text, with the options and examples.
     fn help(&self, options: &Options) -> String {
         let brief = format!(
             "Usage: lentillift {} [OPTIONS] {}\n\n{}",
@@ -104,15 +105,17 @@
         help
     }
 
-    fn misused(&self, what: &str) -> Exit {
+    /// Prints an error in the command line.
+    fn report_usage_error(&self, what: &str) -> Exit {
         eprintln!("lentillift {}: {what}", self.name);
         eprintln!("Try `lentillift {} --help`.", self.name);
         Exit::Usage
     }
 
-    fn failed(&self, error: &anyhow::Error, json: bool) -> Exit {
-        if let Some(Usage(what)) = error.downcast_ref() {
-            return self.misused(what);
+    /// Prints an error of the run, and returns the exit code for it.
+    fn report_failure(&self, error: &anyhow::Error, json: bool) -> Exit {
+        if let Some(UsageError(what)) = error.downcast_ref() {
+            return self.report_usage_error(what);
         }
         if let Some(report) = error.downcast_ref::<Report>() {
             match json {
@@ -135,7 +138,7 @@
     }
 }
 
-/// The free arguments, which must be as many as `names`.
+/// Returns the positional arguments; fails unless there are as many as `names`.
 pub(crate) fn arguments<const N: usize>(
     matches: &Matches,
     names: [&str; N],
@@ -144,7 +147,7 @@
     let found = free.len();
     free.try_into().map_err(|_| {
         let names = names.join(" ");
-        Usage(format!("found {found} arguments, right is {names}")).into()
+        UsageError(format!("found {found} arguments, right is {names}")).into()
     })
 }
 
@@ -153,17 +156,17 @@
     std::fs::read_to_string(file).with_context(|| format!("read {file}"))
 }
 
-/// Replaces a file by `text` in one step.
+/// Replaces the content of a file atomically: writes a new file and renames it.
 ///
-/// A tool that is stopped halfway through writing would leave half of the answers, and operators
-/// would find out at the next change, at night. The old file stays whole until the new one is.
+/// If the tool were stopped while it overwrote the file, half of the answers would be lost, and
+/// operators would notice only at the next change, perhaps at night.
 pub(crate) fn replace(file: &str, text: &str) -> anyhow::Result<()> {
     let new = format!("{file}.new");
     std::fs::write(&new, text).with_context(|| format!("write {new}"))?;
     std::fs::rename(&new, file).with_context(|| format!("replace {file}"))
 }
 
-/// Writes to the file of `--output`, else to standard output.
+/// Writes `text` to the file given by `--output`, or to standard output.
 pub(crate) fn output(matches: &Matches, text: &str) -> anyhow::Result<()> {
     match matches.opt_str("output") {
         Some(file) => replace(&file, text),
@@ -176,12 +179,12 @@
 
 /// Writes text to standard output.
 ///
-/// A reader that has seen enough, such as `head`, closes the pipe; that is no fault of ours.
+/// Errors are ignored: a reader such as `head` closes the pipe when it has read enough.
 pub(crate) fn show(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Writes a JSON value and a line end to standard output.
+/// Writes a value as one line of JSON to standard output.
 pub(crate) fn show_json<T>(value: &T) -> anyhow::Result<()>
 where
     T: Serialize,
@@ -190,7 +193,7 @@
     Ok(())
 }
 
-/// Whether a file is there.
+/// Whether a file exists.
 pub(crate) fn exists(file: &str) -> bool {
     Path::new(file).exists()
 }
--- a/crates/lentillift/src/command/check.rs
+++ b/crates/lentillift/src/command/check.rs
@@ -1,7 +1,7 @@
-//! `lentillift check`: all faults of a file at once.
+//! `lentillift check`: reports all faults of files at once.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::read;
 use crate::command::show;
 use crate::command::show_json;
@@ -19,7 +19,7 @@
     arguments: "FILE...",
     summary: "check answers, configurations, settings and published values",
     about: "Checks each FILE and names all faults at once: file, line, field, what was found and
-what would be right. The kind of a file is told by its fields; --as says it for sure.",
+what would be right. The kind of a file is detected from its fields unless --as gives it.",
     examples: &[
         (
             "lentillift check answers.jsonc",
@@ -38,6 +38,7 @@
     run,
 };
 
+/// Values of `--as`.
 const KINDS: [(&str, Kind); 5] = [
     ("answers", Kind::Answers),
     ("config", Kind::Config),
@@ -53,16 +54,16 @@
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
     if matches.free.is_empty() {
-        return Err(Usage("found no FILE, at least one is right".to_owned()).into());
+        return Err(UsageError("found no FILE, at least one is right".to_owned()).into());
     }
-    let forced = match matches.opt_str("as") {
-        Some(name) => Some(named(&name)?),
+    let forced_kind = match matches.opt_str("as") {
+        Some(name) => Some(parse_kind(&name)?),
         None => None,
     };
     let json = matches.opt_present("json");
     let mut reports = Vec::new();
     for file in &matches.free {
-        match check(file, &read(file)?, forced) {
+        match check(file, &read(file)?, forced_kind) {
             Ok(kind) if !json => show(&format!("{file}: right ({kind})\n")),
             Ok(_) => {}
             Err(report) => reports.push(report),
@@ -79,22 +80,24 @@
     })
 }
 
-fn named(name: &str) -> Result<Kind, Usage> {
+/// Parses the value of `--as`.
+fn parse_kind(name: &str) -> Result<Kind, UsageError> {
     let found = KINDS.iter().find(|(known, _)| *known == name);
     let known = KINDS.map(|(known, _)| known).join(", ");
     found
         .map(|(_, kind)| *kind)
-        .ok_or_else(|| Usage(format!("--as: found {name}, right is one of {known}")))
+        .ok_or_else(|| UsageError(format!("--as: found {name}, right is one of {known}")))
 }
 
-fn check(file: &str, text: &str, forced: Option<Kind>) -> Result<Kind, Report> {
-    let kind = match forced {
+/// Checks a file; answers are checked by generating a configuration from them as well.
+fn check(file: &str, text: &str, forced_kind: Option<Kind>) -> Result<Kind, Report> {
+    let kind = match forced_kind {
         Some(kind) => kind,
         None => Kind::of(&Document::parse(file, text)?),
     };
     kind.check(file, text)?;
     if kind == Kind::Answers {
-        super::configure::generated(file, &Answers::parse(file, text)?)?;
+        super::configure::generate_config(file, &Answers::parse(file, text)?)?;
     }
     Ok(kind)
 }
--- a/crates/lentillift/src/command/configure.rs
+++ b/crates/lentillift/src/command/configure.rs
@@ -1,4 +1,4 @@
-//! `lentillift configure`: from answers to the configuration to publish.
+//! `lentillift configure`: generates the configuration to publish from answers.
 
 use crate::command::Command;
 use crate::command::arguments;
@@ -19,13 +19,13 @@
     name: "configure",
     arguments: "ANSWERS",
     summary: "generate the configuration to publish",
-    about: "Checks ANSWERS and writes the configuration that they lead to, with its revision, to
-standard output or to --output. What was decided, and why, goes to standard error.
-Publish the configuration under the key `config` of the platform's service.",
+    about: "Checks ANSWERS and writes the configuration generated from them, with its revision, to
+standard output or to --output. Decisions and their reasons go to standard error.
+Publish the configuration under the key `config` of the platform's configuration service.",
     examples: &[
         (
             "lentillift configure answers.jsonc --output config.json",
-            "Generate the configuration and read what was decided.",
+            "Generate the configuration and show the decisions.",
         ),
         (
             "lentillift configure --json answers.jsonc",
@@ -38,26 +38,26 @@
 
 fn options(options: &mut Options) {
     options.optopt("o", "output", "write the configuration to FILE", "FILE");
-    options.optflag("q", "quiet", "leave out what was decided");
+    options.optflag("q", "quiet", "do not show the decisions");
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
     let [file] = arguments(matches, ["ANSWERS"])?;
     let answers = Answers::parse(&file, &read(&file)?)?;
-    let generated = generated(&file, &answers)?;
+    let generated = generate_config(&file, &answers)?;
     if matches.opt_present("json") {
         output(matches, &(serde_json::to_string_pretty(&generated)? + "\n"))?;
         return Ok(Exit::Done);
     }
     output(matches, &text(&generated.config)?)?;
     if !matches.opt_present("quiet") {
-        summarise(&answers, &generated);
+        print_decisions(&answers, &generated);
     }
     Ok(Exit::Done)
 }
 
-/// Generates a configuration; what makes it unfit is reported for `file`.
-pub(crate) fn generated(file: &str, answers: &Answers) -> Result<Generated, Report> {
+/// Generates a configuration; faults in it are reported for `file`, at its first line.
+pub(crate) fn generate_config(file: &str, answers: &Answers) -> Result<Generated, Report> {
     generate::generate(answers).map_err(|faults| Report {
         file: file.to_owned(),
         faults: faults
@@ -67,12 +67,13 @@
     })
 }
 
-/// A configuration as it is published.
+/// The text of a configuration, as it is to be published.
 pub(crate) fn text(config: &Config) -> anyhow::Result<String> {
     Ok(serde_json::to_string_pretty(config)? + "\n")
 }
 
-fn summarise(answers: &Answers, generated: &Generated) {
+/// Prints the size of the configuration, and each decision with its reason, to standard error.
+fn print_decisions(answers: &Answers, generated: &Generated) {
     eprintln!(
         "{}: revision {}, {} services, {} callers, {} failure domains.",
         answers.organisation,
--- a/crates/lentillift/src/command/diff.rs
+++ b/crates/lentillift/src/command/diff.rs
@@ -1,4 +1,4 @@
-//! `lentillift diff`: what a revision changes in force.
+//! `lentillift diff`: describes what a new revision changes.
 
 use crate::command::Command;
 use crate::command::arguments;
@@ -22,9 +22,9 @@
 pub(crate) const COMMAND: Command = Command {
     name: "diff",
     arguments: "OLD NEW",
-    summary: "say in words what a revision changes in force",
-    about: "Compares two configurations, or the configurations that two files of answers lead to,
-and says in words what changes when NEW is published after OLD.",
+    summary: "describe what a new revision changes",
+    about: "Compares two configurations, or the configurations generated from two files of answers,
+and describes what changes when NEW is published after OLD.",
     examples: &[(
         "lentillift diff config.json answers.jsonc",
         "What would publishing these answers change?",
@@ -59,12 +59,13 @@
     Ok(Exit::Done)
 }
 
+/// Reads a configuration, or generates it if the file has answers.
 fn load(file: &str) -> anyhow::Result<Config> {
     let text = read(file)?;
     let document = Document::parse(file, &text)?;
     if Kind::of(&document) == Kind::Answers {
         let answers = Answers::parse(file, &text)?;
-        return Ok(configure::generated(file, &answers)?.config);
+        return Ok(configure::generate_config(file, &answers)?.config);
     }
     let config: Config = document.decode(&config::SHAPE)?;
     document.verdict(review::config(&config))?;
--- a/crates/lentillift/src/command/explain.rs
+++ b/crates/lentillift/src/command/explain.rs
@@ -1,7 +1,7 @@
-//! `lentillift explain`: the story of one request, from the logs of all processes.
+//! `lentillift explain`: explains the result of one request from the logs of all processes.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::show;
 use crate::command::show_json;
 use crate::exit::Exit;
@@ -16,16 +16,16 @@
 pub(crate) const COMMAND: Command = Command {
     name: "explain",
     arguments: "ID FILE...",
-    summary: "tell the story of one request from the logs of all processes",
+    summary: "explain the result of one request from the logs of all processes",
     about:
         "Reads logs of any number of processes, `-` for standard input, and shows every line about
-the request ID in the order of time, with what each process believed around it: lost
-origins, changes of the configuration, of hosts and of the backend servers it met. Lines of
+the request ID in order of time, with state changes of the same processes shortly before: lost
+origins, changes of the configuration, of hosts and of the backend servers involved. Lines of
 other programs and lines that are cut off are counted and left out.",
     examples: &[
         (
             "lentillift explain 9c41d07be2a35f68 front-1.log front-2.log",
-            "Which decision cost the request its time or its answer.",
+            "Show what delayed the request or made it fail.",
         ),
         (
             "cat *.log | lentillift explain 9c41d07be2a35f68 -",
@@ -40,22 +40,22 @@
     options.optopt(
         "",
         "around",
-        "show changes of what processes believed up to SECONDS before the request (5)",
+        "show state changes up to SECONDS before the request (5)",
         "SECONDS",
     );
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
     let Some((id, files)) = matches.free.split_first() else {
-        return Err(Usage("found no request id, right is ID FILE...".to_owned()).into());
+        return Err(UsageError("found no request id, right is ID FILE...".to_owned()).into());
     };
     if files.is_empty() {
-        return Err(Usage("found no log, right is ID FILE...".to_owned()).into());
+        return Err(UsageError("found no log, right is ID FILE...".to_owned()).into());
     }
     let around = matches.opt_get_default("around", story::AROUND)?;
     let mut logs = Vec::new();
     for file in files {
-        logs.push((file.as_str(), log(file)?));
+        logs.push((file.as_str(), read_log(file)?));
     }
     let story = Story::find(id, around, &logs);
     if matches.opt_present("json") {
@@ -69,8 +69,8 @@
     }
 }
 
-/// A log as text; bytes that are none become replacement characters, since a cut line is no error.
-fn log(file: &str) -> anyhow::Result<String> {
+/// Reads a log. Invalid UTF-8, as in a line that is cut off, becomes replacement characters.
+fn read_log(file: &str) -> anyhow::Result<String> {
     let mut bytes = Vec::new();
     if file == "-" {
         let read = std::io::stdin().read_to_end(&mut bytes);
--- a/crates/lentillift/src/command/init.rs
+++ b/crates/lentillift/src/command/init.rs
@@ -1,7 +1,7 @@
-//! `lentillift init`: a file of answers to start from.
+//! `lentillift init`: writes a questionnaire with example answers.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::exists;
 use crate::command::replace;
 use crate::command::show;
@@ -22,7 +22,7 @@
     examples: &[
         (
             "lentillift init answers.jsonc",
-            "Start a new team's answers.",
+            "Create a file of answers for a new team.",
         ),
         ("lentillift init | less", "Read the questions."),
     ],
@@ -41,10 +41,15 @@
             return Ok(Exit::Done);
         }
         [file] => file,
-        _ => return Err(Usage("one FILE at most is right".to_owned()).into()),
+        _ => {
+            return Err(UsageError(
+                "found several arguments, at most one FILE is right".to_owned(),
+            )
+            .into());
+        }
     };
     if exists(file) && !matches.opt_present("force") {
-        anyhow::bail!("{file} is there already; --force overwrites it");
+        anyhow::bail!("{file} already exists; --force overwrites it");
     }
     replace(file, QUESTIONNAIRE)?;
     match matches.opt_present("json") {
--- a/crates/lentillift/src/command/load.rs
+++ b/crates/lentillift/src/command/load.rs
@@ -1,7 +1,7 @@
-//! `lentillift load`: open-loop load on running processes.
+//! `lentillift load`: runs an open-loop load test against running processes.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::arguments;
 use crate::command::read;
 use crate::command::show;
@@ -26,12 +26,12 @@
     arguments: "SCENARIO",
     summary: "put load on running processes and report what callers receive",
     about:
-        "Draws the arrivals of SCENARIO beforehand and sends each request when it is due, however
-late the answers to others are. Latency counts from the due time. Faults are brought
-about through the stand-ins' control address. `bench/run` starts all that is needed.",
+        "Draws the arrivals of SCENARIO before the run and sends each request when it is due, however
+late other responses are. Latency is measured from the due time. Faults are injected
+through the stand-ins' control address. `bench/run` starts all processes that are needed.",
     examples: &[(
         "bench/run bench/quiet-night.jsonc",
-        "Start stand-ins and processes on loopback, put load on them, and end them.",
+        "Start stand-ins and processes on loopback, run the load, and stop them.",
     )],
     options,
     run,
@@ -45,7 +45,12 @@
         "directory with the first line of each process, as HOST@DOMAIN.json",
         "DIR",
     );
-    options.optopt("", "processes", "processes to wait for", "N");
+    options.optopt(
+        "",
+        "processes",
+        "number of ready processes to wait for",
+        "N",
+    );
     options.optopt("", "html", "write the report as a page to FILE", "FILE");
     options.optopt("", "save", "write the report as JSON to FILE", "FILE");
     options.optopt("", "baseline", "compare with the report in FILE", "FILE");
@@ -70,7 +75,7 @@
     let control: String = matches.opt_get("control")?.context("--control")?;
     let control = control
         .parse()
-        .map_err(|e| Usage(format!("--control: {e}")))?;
+        .map_err(|e| UsageError(format!("--control: {e}")))?;
     let hosts: PathBuf = matches.opt_get("hosts")?.context("--hosts")?;
     let processes = matches.opt_get_default("processes", 1)?;
     let outcome = run::run(
--- a/crates/lentillift/src/command/quarantine.rs
+++ b/crates/lentillift/src/command/quarantine.rs
@@ -1,4 +1,4 @@
-//! `lentillift quarantine`: requests that end the backend servers which run them.
+//! `lentillift quarantine`: lists requests that terminate backend servers, and lifts their quarantine.
 
 use crate::command::Command;
 use crate::command::Unreachable;
@@ -12,27 +12,28 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Longest wait for one process.
+/// Timeout of a request to one process.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The command.
 pub(crate) const COMMAND: Command = Command {
     name: "quarantine",
     arguments: "ADDR...",
-    summary: "show requests that end backend servers, or let one be sent again",
+    summary: "show requests that terminate backend servers, or lift the quarantine of one",
     about:
-        "Asks the operators' port of each process which requests backend servers ended under: their
-fingerprint, as it stands in the logs, whether they are suspect, quarantined or cleared, how
-many servers ended and how long ago, and when one server will be asked again whether it bears
-the request. With --lift the request is sent again; one process is enough, it tells the others.",
+        "Lists, from the operators' port of each process, the requests during which backend servers
+terminated: their fingerprint, as in the logs, whether they are suspect, quarantined or
+cleared, how many servers terminated and how long ago, and when the request will next be tried
+on one server. With --lift the request may be sent again; one process is enough, it informs
+the others.",
     examples: &[
         (
             "lentillift quarantine 10.0.0.1:8106 10.0.0.2:8106",
-            "Look at two processes.",
+            "List the requests known to two processes.",
         ),
         (
             "lentillift quarantine --lift 9c41d07be2a35f68 10.0.0.1:8106",
-            "Let a request be sent again once its backend servers are mended.",
+            "Allow a request again after its backend servers are fixed.",
         ),
     ],
     options,
@@ -43,13 +44,13 @@
     options.optopt(
         "",
         "lift",
-        "let requests with this fingerprint be sent again",
+        "allow requests with this fingerprint again",
         "FINGERPRINT",
     );
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
-    let addresses = fetch::addresses(&matches.free)?;
+    let addresses = fetch::parse_addresses(&matches.free)?;
     let agent = fetch::agent(TIMEOUT);
     match matches.opt_str("lift") {
         Some(fingerprint) => lift(&agent, &addresses, &fingerprint),
@@ -57,13 +58,14 @@
     }
 }
 
+/// Prints the requests that each process has a record of.
 fn list(agent: &Agent, addresses: &[SocketAddr]) -> anyhow::Result<Exit> {
     let mut text = String::new();
     let mut failed = Vec::new();
     for address in addresses {
         match read(agent, *address) {
-            Ok(held) => {
-                for line in held.lines() {
+            Ok(records) => {
+                for line in records.lines() {
                     writeln!(text, "{address} {line}")?;
                 }
             }
@@ -82,7 +84,7 @@
     response?.body_mut().read_to_string()
 }
 
-/// Has the first process that holds the request let it be sent again.
+/// Lifts the quarantine at the first process that has a record of the request.
 fn lift(agent: &Agent, addresses: &[SocketAddr], fingerprint: &str) -> anyhow::Result<Exit> {
     let mut failed = Vec::new();
     for address in addresses {
--- a/crates/lentillift/src/command/query.rs
+++ b/crates/lentillift/src/command/query.rs
@@ -1,8 +1,8 @@
-//! `lentillift query`: one query, as a caller would put it.
+//! `lentillift query`: sends one query as a caller.
 
 use crate::command::Command;
 use crate::command::Unreachable;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::show;
 use crate::exit::Exit;
 use crate::fetch;
@@ -15,28 +15,28 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time allowance when the command line does not say, in milliseconds.
-const ALLOWANCE_MS: u64 = 1000;
+/// Default time allowance, in milliseconds.
+const DEFAULT_ALLOWANCE_MS: u64 = 1000;
 
-/// Time over the allowance after which the tool itself gives up.
-const GRACE: Duration = Duration::from_secs(2);
+/// Time beyond the allowance after which the tool gives up.
+const CLIENT_GRACE: Duration = Duration::from_secs(2);
 
 /// The command.
 pub(crate) const COMMAND: Command = Command {
     name: "query",
     arguments: "ADDR SERVICE [BODY]",
-    summary: "put one query and show its answer and coverage",
+    summary: "send one query and show its answer and coverage",
     about:
         "Sends BODY, a JSON object, as a query to SERVICE through the callers' port at ADDR. Shows
-what the answer covers, which shards are missing and why, and the hits.",
+the coverage of the answer, the missing shards with reasons, and the hits.",
     examples: &[
         (
             "lentillift query --caller phones 10.0.0.1:7070 notice-search-01 '{\"q\":\"Amina\"}'",
-            "Ask as the caller `phones`.",
+            "Send the query as the caller `phones`.",
         ),
         (
             "lentillift query --caller phones --json 10.0.0.1:7070 archive",
-            "The answer as it came.",
+            "Show the response body unchanged.",
         ),
     ],
     options,
@@ -46,21 +46,26 @@
 fn options(options: &mut Options) {
     options.optopt("c", "caller", "name of the caller (required)", "NAME");
     options.optopt("", "allowance-ms", "how long the caller waits (1000)", "MS");
-    options.optopt("", "least-coverage", "least share that is accepted", "0..1");
+    options.optopt(
+        "",
+        "least-coverage",
+        "minimum coverage that is accepted",
+        "0..1",
+    );
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
     let (address, service, body) = match matches.free.as_slice() {
         [address, service] => (address, service, "{}"),
         [address, service, body] => (address, service, body.as_str()),
-        _ => return Err(Usage("right is ADDR SERVICE [BODY]".to_owned()).into()),
+        _ => return Err(UsageError("right is ADDR SERVICE [BODY]".to_owned()).into()),
     };
-    let address = fetch::address(address)?;
+    let address = fetch::parse_address(address)?;
     let caller = matches.opt_str("caller");
-    let caller = caller.ok_or_else(|| Usage("--caller is missing".to_owned()))?;
-    let allowance = matches.opt_get_default("allowance-ms", ALLOWANCE_MS);
-    let allowance = allowance.map_err(|e| Usage(format!("--allowance-ms: {e}")))?;
-    let agent = fetch::agent(Duration::from_millis(allowance) + GRACE);
+    let caller = caller.ok_or_else(|| UsageError("--caller is missing".to_owned()))?;
+    let allowance = matches.opt_get_default("allowance-ms", DEFAULT_ALLOWANCE_MS);
+    let allowance = allowance.map_err(|e| UsageError(format!("--allowance-ms: {e}")))?;
+    let agent = fetch::agent(Duration::from_millis(allowance) + CLIENT_GRACE);
     let mut request = agent
         .post(format!("http://{address}/v1/services/{service}/query"))
         .header("x-caller", caller)
@@ -89,6 +94,7 @@
     })
 }
 
+/// Describes an answer: coverage, latency, missing shards and hits.
 fn summary(answer: &Value, latency: Duration) -> String {
     let coverage = &answer["coverage"];
     let mut text = format!(
--- a/crates/lentillift/src/command/service.rs
+++ b/crates/lentillift/src/command/service.rs
@@ -1,7 +1,8 @@
-//! `lentillift domain` and `lentillift host`: taking out of service and bringing back.
+//! `lentillift domain` and `lentillift host`: take a failure domain or a host out of service or bring
+//! it back.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::arguments;
 use crate::command::configure;
 use crate::command::output;
@@ -31,7 +32,7 @@
         ),
         (
             "lentillift domain in d2 answers.jsonc --dry-run",
-            "See what bringing d2 back would change.",
+            "Show what bringing d2 back would change.",
         ),
     ],
     options,
@@ -55,31 +56,31 @@
 const ABOUT: &str =
     "Revises ANSWERS in place, keeps their comments, raises the revision, and writes the new
 configuration to standard output or to --output. Publish it under the key `config`: the
-system itself writes nothing. What is out already stays out, at the same revision.";
+system itself writes nothing. If it is out already, the revision stays the same.";
 
 fn options(options: &mut Options) {
     options.optopt("o", "output", "write the configuration to FILE", "FILE");
-    options.optflag("n", "dry-run", "change no file; say what would change");
+    options.optflag("n", "dry-run", "change no file; show what would change");
 }
 
 fn run(matches: &Matches, unit: Unit) -> anyhow::Result<Exit> {
-    let [way, name, file] = arguments(matches, ["out|in", "NAME", "ANSWERS"])?;
-    let way = match way.as_str() {
+    let [direction, name, file] = arguments(matches, ["out|in", "NAME", "ANSWERS"])?;
+    let way = match direction.as_str() {
         "out" => Way::Out,
         "in" => Way::In,
-        other => return Err(Usage(format!("found {other}, right is out or in")).into()),
+        other => return Err(UsageError(format!("found {other}, right is out or in")).into()),
     };
     let text = read(&file)?;
-    let before = configure::generated(&file, &Answers::parse(&file, &text)?)?.config;
+    let before = configure::generate_config(&file, &Answers::parse(&file, &text)?)?.config;
     let revised = revise::service(&file, &text, unit, way, &name)?;
-    let after = configure::generated(&file, &revised.answers)?.config;
+    let after = configure::generate_config(&file, &revised.answers)?.config;
     let changes = change::describe(&before, &after);
     if matches.opt_present("dry-run") {
         report(matches, &revised, &changes);
         return Ok(Exit::Done);
     }
-    // The answers first: with the output alone written, the next change would give a second
-    // configuration of the same revision, and whichever came later would never be in force.
+    // The answers are written first. If only the output were written, the next change would generate
+    // a second configuration of the same revision, and the later one would never come into force.
     if revised.changed {
         replace(&file, &revised.text)?;
     }
@@ -98,6 +99,7 @@
     Ok(Exit::Done)
 }
 
+/// Prints the revision and the changes.
 fn report(matches: &Matches, revised: &Revised, changes: &[String]) {
     let revision = revised.answers.revision;
     if matches.opt_present("json") {
--- a/crates/lentillift/src/command/status.rs
+++ b/crates/lentillift/src/command/status.rs
@@ -1,7 +1,7 @@
-//! `lentillift status`: the fleet at a glance.
+//! `lentillift status`: shows a summary of the fleet.
 
 use crate::command::Command;
-use crate::command::Usage;
+use crate::command::UsageError;
 use crate::command::show;
 use crate::command::show_json;
 use crate::exit::Exit;
@@ -21,35 +21,35 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Pause between two looks while a revision is waited for.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Poll interval while waiting for a revision.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest wait for a revision when the command line does not say, in seconds.
-const WAIT_S: u64 = 30;
+/// Default of the longest wait for a revision, in seconds.
+const DEFAULT_WAIT_S: u64 = 30;
 
-/// Processes up to which each has a line of its own.
-const FEW: usize = 24;
+/// Maximum number of processes up to which each one has its own line.
+const MAX_NODE_LINES: usize = 24;
 
 /// The command.
 pub(crate) const COMMAND: Command = Command {
     name: "status",
     arguments: "ADDR...",
-    summary: "show the fleet at a glance",
+    summary: "show a summary of the fleet",
     about:
-        "Asks the operators' port of each process and shows the revision in force on each, failure
-domains in and out, backend servers owned, cold and queued, and coverage, p99 and
-refusals of each service today, with what declines over the days. With more than 24
+        "Reads the operators' port of each process and shows the revision in force on each, failure
+domains in and out of service, backend servers owned and cold, queues, and coverage, p99 and
+refusals of each service today, with declines over the days. With more than 24
 processes there is a line for each failure domain, and one for each process that isn't
 ready, has another revision, or sees fewer hosts than the others. A process keeps 62
-days at most and forgets them when it ends; for longer times keep /metrics elsewhere.",
+days at most and loses them when it stops; for longer times store /metrics elsewhere.",
     examples: &[
         (
             "lentillift status 10.0.0.1:7072 10.0.0.2:7072",
-            "Look at two processes.",
+            "Show two processes.",
         ),
         (
             "lentillift status --wait-revision 7 10.0.0.1:7072 10.0.0.2:7072",
-            "Wait until revision 7 is in force on both; exit code 1 if it isn't in time.",
+            "Wait until revision 7 is in force on both; exit code 1 on timeout.",
         ),
         (
             "lentillift status --days 7 10.0.0.1:7072",
@@ -68,55 +68,57 @@
         "N",
     );
     options.optopt("", "timeout", "longest wait, in seconds (30)", "S");
-    options.optflag("", "nodes", "show each process also when there are many");
+    options.optflag("", "nodes", "show each process even if there are many");
     options.optopt("", "days", "show the last N days of each service", "N");
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
-    let addresses = fetch::addresses(&matches.free)?;
-    let days = number(matches, "days")?.unwrap_or(0) as usize;
-    let timeout = number(matches, "timeout")?.unwrap_or(WAIT_S);
-    if let Some(revision) = number(matches, "wait-revision")? {
+    let addresses = fetch::parse_addresses(&matches.free)?;
+    let days = parse_number(matches, "days")?.unwrap_or(0) as usize;
+    let timeout = parse_number(matches, "timeout")?.unwrap_or(DEFAULT_WAIT_S);
+    if let Some(revision) = parse_number(matches, "wait-revision")? {
         return wait(matches, &addresses, revision, Duration::from_secs(timeout));
     }
     let fetched = fetch::all::<Status>(&addresses, "/status");
-    fetch::any(&fetched)?;
-    let (fleet, lost) = split(fetched);
+    fetch::require_any(&fetched)?;
+    let (fleet, unreachable) = summarise(fetched);
     if matches.opt_present("json") {
-        show_json(&serde_json::json!({ "fleet": fleet, "unreachable": lost }))?;
+        show_json(&serde_json::json!({ "fleet": fleet, "unreachable": unreachable }))?;
     } else {
-        let each = matches.opt_present("nodes") || fleet.nodes.len() <= FEW;
-        show(&text(&fleet, &lost, days, each));
+        let each = matches.opt_present("nodes") || fleet.nodes.len() <= MAX_NODE_LINES;
+        show(&text(&fleet, &unreachable, days, each));
     }
-    Ok(match lost.is_empty() {
+    Ok(match unreachable.is_empty() {
         true => Exit::Done,
         false => Exit::Unreachable,
     })
 }
 
-fn number<T>(matches: &Matches, name: &str) -> Result<Option<T>, Usage>
+/// Parses an option with a whole number; none if it is not given.
+fn parse_number<T>(matches: &Matches, name: &str) -> Result<Option<T>, UsageError>
 where
     T: FromStr,
 {
     let text = matches.opt_str(name);
-    let wrong = |text| Usage(format!("--{name}: found {text}, right is a whole number"));
+    let wrong = |text| UsageError(format!("--{name}: found {text}, right is a whole number"));
     text.map(|text| text.parse().map_err(|_| wrong(text)))
         .transpose()
 }
 
-/// Puts the answers together and lists those that did not come.
-fn split(fetched: Vec<Fetched<Status>>) -> (Fleet, Vec<(SocketAddr, String)>) {
+/// Summarises the statuses that were fetched, and lists the processes that could not be reached.
+fn summarise(fetched: Vec<Fetched<Status>>) -> (Fleet, Vec<(SocketAddr, String)>) {
     let mut statuses = Vec::new();
-    let mut lost = Vec::new();
+    let mut unreachable = Vec::new();
     for one in fetched {
         match one.result {
             Ok(status) => statuses.push(status),
-            Err(error) => lost.push((one.address, error)),
+            Err(error) => unreachable.push((one.address, error)),
         }
     }
-    (Fleet::new(&statuses), lost)
+    (Fleet::new(&statuses), unreachable)
 }
 
+/// Waits until `revision` is in force on all processes, or until the timeout.
 fn wait(
     matches: &Matches,
     addresses: &[SocketAddr],
@@ -124,12 +126,12 @@
     timeout: Duration,
 ) -> anyhow::Result<Exit> {
     let started = Instant::now();
-    let mut told = None;
+    let mut last_reported = None;
     loop {
-        let (fleet, lost) = split(fetch::all(addresses, "/status"));
+        let (fleet, unreachable) = summarise(fetch::all(addresses, "/status"));
         let behind = fleet.nodes.iter().filter(|node| node.revision < revision);
         let behind: Vec<String> = behind.map(|node| node.host.to_string()).collect();
-        let missing = lost.iter().map(|(address, _)| address.to_string());
+        let missing = unreachable.iter().map(|(address, _)| address.to_string());
         let awaited: Vec<String> = behind.into_iter().chain(missing).collect();
         let waited = started.elapsed();
         if awaited.is_empty() || waited >= timeout {
@@ -154,27 +156,28 @@
             }
             return Ok(if done { Exit::Done } else { Exit::Failed });
         }
-        if told.replace(awaited.len()) != Some(awaited.len()) {
+        if last_reported.replace(awaited.len()) != Some(awaited.len()) {
             eprintln!("Waiting for {} of {}.", awaited.len(), addresses.len());
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn text(fleet: &Fleet, lost: &[(SocketAddr, String)], days: usize, each: bool) -> String {
+/// The whole output; `each` shows a line for each process instead of each failure domain.
+fn text(fleet: &Fleet, unreachable: &[(SocketAddr, String)], days: usize, each: bool) -> String {
     let mut text = match each {
-        true => nodes(fleet.nodes.iter()),
-        false => domains(fleet) + "\n" + &nodes(fleet.unusual()),
+        true => node_table(fleet.nodes.iter()),
+        false => domain_table(fleet) + "\n" + &node_table(fleet.unusual()),
     };
-    for (address, error) in lost {
+    for (address, error) in unreachable {
         let line = format!("{address}: not reached: {error}");
         let _ = writeln!(text, "{}", alarm(&line));
     }
     text.push('\n');
-    text.push_str(&standing(fleet));
+    text.push_str(&service_state(fleet));
     if !fleet.services.is_empty() {
         text.push('\n');
-        text.push_str(&services(fleet, days));
+        text.push_str(&service_table(fleet, days));
     }
     for (name, service) in &fleet.services {
         for decline in &service.declines {
@@ -184,8 +187,8 @@
     text
 }
 
-/// A line for each failure domain, where there are too many processes to look at.
-fn domains(fleet: &Fleet) -> String {
+/// A line for each failure domain, used when there are too many processes for a line each.
+fn domain_table(fleet: &Fleet) -> String {
     let mut table = Table::new(&[
         "DOMAIN",
         "HOSTS",
@@ -217,7 +220,8 @@
     table.text()
 }
 
-fn nodes<'a, I>(nodes: I) -> String
+/// A line for each process.
+fn node_table<'a, I>(nodes: I) -> String
 where
     I: Iterator<Item = &'a Node>,
 {
@@ -252,6 +256,7 @@
     table.text()
 }
 
+/// A duration in its largest whole unit.
 fn age(seconds: u64) -> String {
     match seconds {
         0..60 => format!("{seconds}s"),
@@ -261,7 +266,8 @@
     }
 }
 
-fn standing(fleet: &Fleet) -> String {
+/// Failure domains and hosts in and out of service, and differences in revision.
+fn service_state(fleet: &Fleet) -> String {
     let mut text = String::new();
     let domains = fleet.domains.iter().map(|(name, is_in)| match is_in {
         true => format!("{name} in"),
@@ -288,7 +294,8 @@
     text
 }
 
-fn services(fleet: &Fleet, days: usize) -> String {
+/// A line for each service for each of the last `days` days, at least today, and for the last hour.
+fn service_table(fleet: &Fleet, days: usize) -> String {
     let mut table = Table::new(&[
         "SERVICE",
         "SPAN",
@@ -319,10 +326,10 @@
     table.text()
 }
 
-/// The date of a time since 1970, in UTC.
+/// The UTC date of a time in seconds since the Unix epoch.
 ///
-/// The arithmetic of the Gregorian calendar in days from 1 March of year 0, where a leap day is
-/// the last day of its year.
+/// Counts days of the Gregorian calendar from 1 March of year 0, so that a leap day is the last day
+/// of its year.
 fn date(seconds: u64) -> String {
     let days = seconds / 86_400 + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
--- a/crates/lentillift/src/command/timeline.rs
+++ b/crates/lentillift/src/command/timeline.rs
@@ -1,4 +1,4 @@
-//! `lentillift timeline`: the events of all processes in one order.
+//! `lentillift timeline`: shows the events of all processes in causal order.
 
 use crate::command::Command;
 use crate::command::replace;
@@ -9,24 +9,24 @@
 use getopts::Matches;
 use getopts::Options;
 use lentillift::merge;
-use lentillift::merge::Placed;
+use lentillift::merge::MergedEvent;
 use lentillift_operator::event::Page;
 use std::fmt::Write;
 
-/// The page that shows events; [`EVENTS`] in it stands for them.
+/// The HTML page, with the placeholder [`EVENTS`].
 const PAGE: &str = include_str!("timeline.html");
 
-/// What is replaced by the events.
+/// Placeholder in the page that is replaced by the events as JSON.
 const EVENTS: &str = "/*EVENTS*/[]";
 
 /// The command.
 pub(crate) const COMMAND: Command = Command {
     name: "timeline",
     arguments: "ADDR...",
-    summary: "show the events of all processes in one order",
+    summary: "show the events of all processes in causal order",
     about: "Reads the time line of each process from its operators' port and merges them. Within a
 process, events keep their order; what a process received from another comes after it was
-sent; all else goes by the hosts' clocks. `+` marks a time that was moved for that reason.
+sent; other events are ordered by the hosts' clocks. `+` marks a time that was adjusted for that.
 A process keeps its last 4096 events.",
     examples: &[
         (
@@ -52,9 +52,9 @@
 }
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
-    let addresses = fetch::addresses(&matches.free)?;
+    let addresses = fetch::parse_addresses(&matches.free)?;
     let fetched = fetch::all::<Page>(&addresses, "/timeline");
-    fetch::any(&fetched)?;
+    fetch::require_any(&fetched)?;
     let mut pages = Vec::new();
     let mut exit = Exit::Done;
     for one in fetched {
@@ -82,17 +82,17 @@
 }
 
 /// An event as one line of text.
-fn line(placed: &Placed) -> String {
-    let note = &placed.event.note;
-    let moved = if placed.at_ms == placed.event.wall_ms {
+fn line(event: &MergedEvent) -> String {
+    let note = &event.event.note;
+    let adjusted = if event.at_ms == event.event.wall_ms {
         ' '
     } else {
         '+'
     };
     let mut line = format!(
-        "{}{moved} {:12} {:12} {}: {}",
-        clock(placed.at_ms),
-        placed.host,
+        "{}{adjusted} {:12} {:12} {}: {}",
+        clock(event.at_ms),
+        event.host,
         note.kind,
         note.subject,
         note.detail
@@ -108,7 +108,7 @@
             let _ = write!(line, " {name}={value}");
         }
     }
-    // Some texts come from other hosts; a terminal would obey control characters in them.
+    // Some texts come from other hosts; control characters in them could manipulate the terminal.
     line.replace(char::is_control, " ") + "\n"
 }
 
@@ -119,8 +119,9 @@
     format!("{hours:02}:{minutes:02}:{:02}.{millis:03}", seconds % 60)
 }
 
-fn html(events: &[Placed]) -> anyhow::Result<String> {
-    // An event's text could hold `</script>`, end the script and be read as part of the page.
+/// The HTML page with the events.
+fn html(events: &[MergedEvent]) -> anyhow::Result<String> {
+    // Otherwise `</script>` in the text of an event would end the script and inject HTML.
     let json = serde_json::to_string(events)?.replace('<', "\\u003c");
     Ok(PAGE.replacen(EVENTS, &json, 1))
 }
--- a/crates/lentillift/src/exit.rs
+++ b/crates/lentillift/src/exit.rs
@@ -1,13 +1,13 @@
-//! Exit codes, for scripts.
+//! Exit codes, which scripts rely on.
 
 use std::process::ExitCode;
 
 /// How a command ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// It did what was asked.
+    /// It succeeded.
     Done,
-    /// It found faults, or what was waited for did not come.
+    /// It found faults or failed, or a wait timed out.
     Failed,
     /// The command line is wrong.
     Usage,
@@ -15,7 +15,7 @@
     Unreachable,
 }
 
-/// The codes as `--help` shows them.
+/// The exit codes, for `--help`.
 pub(crate) const HELP: &str = "\
 Exit codes:
   0  done
--- a/crates/lentillift/src/fetch.rs
+++ b/crates/lentillift/src/fetch.rs
@@ -1,7 +1,7 @@
-//! Reading from many processes at once.
+//! Reads from the operators' ports of many processes at once.
 
 use crate::command::Unreachable;
-use crate::command::Usage;
+use crate::command::UsageError;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -11,39 +11,41 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Longest wait for one process.
+/// Timeout of a request to one process.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Processes that are asked at a time.
+/// Number of worker threads, which limits the requests in flight.
 const WORKERS: usize = 32;
 
-/// Largest answer that is read, in bytes.
-const LIMIT: u64 = 64 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// What came of asking one process.
+/// Result of a request to one process.
 pub(crate) struct Fetched<T> {
-    /// Its address.
+    /// Address of its operators' port.
     pub(crate) address: SocketAddr,
-    /// What it answered, or why not.
+    /// The decoded response, or why there is none.
     pub(crate) result: Result<T, String>,
 }
 
-/// Parses the addresses on a command line.
-pub(crate) fn addresses(free: &[String]) -> Result<Vec<SocketAddr>, Usage> {
+/// Parses the addresses on a command line; at least one is required.
+pub(crate) fn parse_addresses(free: &[String]) -> Result<Vec<SocketAddr>, UsageError> {
     if free.is_empty() {
-        return Err(Usage("found no ADDR, at least one is right".to_owned()));
+        return Err(UsageError(
+            "found no ADDR, at least one is right".to_owned(),
+        ));
     }
-    free.iter().map(|text| address(text)).collect()
+    free.iter().map(|text| parse_address(text)).collect()
 }
 
-/// Parses one address.
-pub(crate) fn address(text: &str) -> Result<SocketAddr, Usage> {
+/// Parses an IP address with its port.
+pub(crate) fn parse_address(text: &str) -> Result<SocketAddr, UsageError> {
     let right = "right is an IP address with its port, like 10.0.0.7:7072";
     text.parse()
-        .map_err(|_| Usage(format!("found {text}, {right}")))
+        .map_err(|_| UsageError(format!("found {text}, {right}")))
 }
 
-/// A client that takes any status as an answer.
+/// An HTTP client that returns responses of any status and follows no redirects.
 pub(crate) fn agent(timeout: Duration) -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
@@ -54,7 +56,7 @@
         .into()
 }
 
-/// Reads `path` from all addresses, in their order.
+/// Sends `GET path` to all addresses in parallel; the results are in the order of the addresses.
 pub(crate) fn all<T>(addresses: &[SocketAddr], path: &str) -> Vec<Fetched<T>>
 where
     T: DeserializeOwned + Send,
@@ -66,7 +68,7 @@
         for _ in 0..WORKERS.min(addresses.len()) {
             scope.spawn(|| {
                 while let Some(address) = addresses.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let result = one(&agent, *address, path);
+                    let result = fetch_one(&agent, *address, path);
                     let address = *address;
                     let mut fetched = fetched.lock().unwrap_or_else(PoisonError::into_inner);
                     fetched.push(Fetched { address, result });
@@ -79,7 +81,7 @@
     fetched
 }
 
-fn one<T>(agent: &Agent, address: SocketAddr, path: &str) -> Result<T, String>
+fn fetch_one<T>(agent: &Agent, address: SocketAddr, path: &str) -> Result<T, String>
 where
     T: DeserializeOwned,
 {
@@ -89,13 +91,17 @@
     if status != 200 {
         return Err(format!("found status {status}, right is 200"));
     }
-    let body = response.body_mut().with_config().limit(LIMIT).read_to_vec();
+    let body = response
+        .body_mut()
+        .with_config()
+        .limit(MAX_BODY_BYTES)
+        .read_to_vec();
     let body = body.map_err(|e| e.to_string())?;
     serde_json::from_slice(&body).map_err(|e| format!("not an operators' port: {e}"))
 }
 
-/// Fails if no process could be reached.
-pub(crate) fn any<T>(fetched: &[Fetched<T>]) -> Result<(), Unreachable> {
+/// Fails unless at least one process could be reached.
+pub(crate) fn require_any<T>(fetched: &[Fetched<T>]) -> Result<(), Unreachable> {
     let mut failed = Vec::new();
     for one in fetched {
         match &one.result {
--- a/crates/lentillift/src/fleet.rs
+++ b/crates/lentillift/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance, put together from the status of each process.
+//! A summary of the fleet, from the status of each process.
 
 use lentillift_core::id;
 use lentillift_operator::status::Entry;
@@ -11,23 +11,23 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Days at least before anything is said about a decline.
-const LEAST_DAYS: usize = 3;
+/// Minimum number of days with answers for a decline to be reported.
+const MIN_DAYS: usize = 3;
 
-/// Fall of the mean coverage that counts as a decline.
+/// Minimum fall of the mean coverage that counts as a decline.
 ///
-/// One document in a thousand that is no longer found is what families notice first.
-const FALL: f64 = 0.001;
+/// Families are the first to notice when one document in a thousand is no longer found.
+const MIN_COVERAGE_FALL: f64 = 0.001;
 
-/// Rise of the 99th percentile that counts as a decline, as a factor.
-const RISE: f64 = 1.1;
+/// Minimum factor by which the 99th percentile rises in a decline.
+const MIN_P99_FACTOR: f64 = 1.1;
 
-/// One process at a glance.
+/// Summary of one process.
 #[derive(Debug, Serialize)]
 pub struct Node {
-    /// Its host.
+    /// Host that it runs on.
     pub host: id::Host,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: id::Domain,
     /// Whether it serves callers.
     pub ready: bool,
@@ -35,48 +35,48 @@
     pub revision: id::Revision,
     /// Time since its start, in seconds.
     pub uptime_s: u64,
-    /// Hosts that it holds to be alive.
+    /// Number of hosts that it considers alive.
     pub alive: usize,
-    /// Backend servers that it owns and has used.
+    /// Number of backend servers that it owns and has sent requests to.
     pub owned: usize,
-    /// Those of them that are not warm.
+    /// Number of those that are still warming up.
     pub cold: usize,
     /// Requests in flight at its backend servers.
     pub in_flight: u32,
-    /// Sub-requests that wait for its backend servers.
+    /// Sub-requests queued for its backend servers.
     pub queue: usize,
-    /// Queries whose callers wait.
+    /// Queries that are not yet answered.
     pub waiting: usize,
 }
 
-/// One service over all processes.
+/// Summary of one service over all processes.
 #[derive(Debug, Serialize)]
 pub struct Service {
     /// Days, oldest first.
     pub days: Vec<Span>,
     /// The last hour that saw a query.
     pub hour: Option<Span>,
-    /// What declines, in words.
+    /// Declines over the days, in words.
     pub declines: Vec<String>,
 }
 
-/// The fleet at a glance.
+/// Summary of the fleet.
 #[derive(Debug, Default, Serialize)]
 pub struct Fleet {
     /// The processes that answered.
     pub nodes: Vec<Node>,
     /// Hosts by the revision in force there.
     pub revisions: BTreeMap<id::Revision, BTreeSet<id::Host>>,
-    /// Failure domains, by the newest revision: whether each is in service.
+    /// Whether each failure domain is in service, by the newest revision.
     pub domains: BTreeMap<id::Domain, bool>,
     /// Hosts that are out of service, by the newest revision.
     pub hosts_out: BTreeSet<id::Host>,
-    /// The services.
+    /// The services that processes have recorded queries for.
     pub services: BTreeMap<id::Service, Service>,
 }
 
 impl Fleet {
-    /// Puts the status of processes together.
+    /// Summarises the statuses of processes.
     pub fn new(statuses: &[Status]) -> Self {
         let mut fleet = Self::default();
         for status in statuses {
@@ -94,7 +94,8 @@
         fleet
     }
 
-    /// The processes that are not as the others: not ready, behind, or seeing fewer hosts.
+    /// The processes that differ from the others: not ready, at an older revision than the newest, or
+    /// with fewer hosts alive than the most that a process reports.
     pub fn unusual(&self) -> impl Iterator<Item = &Node> {
         let newest = self.revisions.keys().next_back().copied();
         let most = self.nodes.iter().map(|node| node.alive).max();
@@ -104,7 +105,7 @@
     }
 }
 
-/// A section of a process's status; empty if it has none yet.
+/// Decodes a section of a process's status; the default if the section is missing or malformed.
 fn section<T>(status: &Status, name: &str) -> T
 where
     T: DeserializeOwned + Default,
@@ -142,10 +143,10 @@
     };
     let service = |name: &id::Service| {
         let rows = rows(name);
-        let days = merged(rows.iter().flat_map(|rows| &rows.days));
+        let days = merge_spans(rows.iter().flat_map(|rows| &rows.days));
         Service {
-            declines: declines(&days),
-            hour: merged(rows.iter().flat_map(|rows| &rows.hours)).pop(),
+            declines: find_declines(&days),
+            hour: merge_spans(rows.iter().flat_map(|rows| &rows.hours)).pop(),
             days,
         }
     };
@@ -155,11 +156,11 @@
         .collect()
 }
 
-/// Spans of several processes put together by their start.
+/// Merges the spans of several processes that have the same start.
 ///
-/// The 99th percentile of the whole is worked out from the counts of all processes. It is never above
-/// that of the worst one, which stands in where a process does not tell its counts.
-pub fn merged<'a, I>(spans: I) -> Vec<Span>
+/// The 99th percentile is computed from the histograms of all processes, and is at most that of the
+/// slowest process. The latter is used if a process does not send its histogram.
+pub fn merge_spans<'a, I>(spans: I) -> Vec<Span>
 where
     I: Iterator<Item = &'a Span>,
 {
@@ -188,13 +189,13 @@
     merged
 }
 
-/// What gets worse from the first third of the days to the last, in words.
+/// Describes what got worse from the first third of the days to the last.
 ///
-/// No single day looks wrong in a slow decline, and two days differ by chance; thirds of a longer
-/// time don't. Days without an answer say nothing about coverage and are left out.
-pub fn declines(days: &[Span]) -> Vec<String> {
+/// In a slow decline no single day looks wrong, and two days differ by chance; means over thirds of
+/// a longer time don't. Days without answers have no coverage and are left out.
+pub fn find_declines(days: &[Span]) -> Vec<String> {
     let days: Vec<&Span> = days.iter().filter(|day| day.answers > 0).collect();
-    if days.len() < LEAST_DAYS {
+    if days.len() < MIN_DAYS {
         return Vec::new();
     }
     let third = days.len() / 3;
@@ -207,7 +208,7 @@
     let p99 = |span: &Span| span.p99_ms;
     let mut declines = Vec::new();
     let (old, new) = (mean(first, coverage), mean(last, coverage));
-    if old - new >= FALL {
+    if old - new >= MIN_COVERAGE_FALL {
         declines.push(format!(
             "coverage fell from {:.2}% to {:.2}% over {} days",
             old * 100.0,
@@ -216,7 +217,7 @@
         ));
     }
     let (old, new) = (mean(first, p99), mean(last, p99));
-    if new >= old * RISE && old > 0.0 {
+    if new >= old * MIN_P99_FACTOR && old > 0.0 {
         declines.push(format!(
             "p99 rose from {old:.0} ms to {new:.0} ms over {} days",
             days.len()
--- a/crates/lentillift/src/lib.rs
+++ b/crates/lentillift/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the command-line tool works out from what processes tell it.
+//! Analyses of the command-line tool: fleet status, merged time lines and explained requests.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift/src/main.rs
+++ b/crates/lentillift/src/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool.
+//! The command-line tool for configuration, operation and load tests.
 
 #![forbid(unsafe_code)]
 
@@ -49,7 +49,7 @@
     for command in command::ALL {
         let _ = writeln!(help, "  {:10} {}", command.name, command.summary);
     }
-    let demo = "run a small fleet on loopback, ask it, and tell what happened";
+    let demo = "run a small fleet on loopback, send it requests, and report the results";
     let _ = writeln!(
         help,
         "  {:10} {demo}\n  {:10} show this help",
--- a/crates/lentillift/src/merge.rs
+++ b/crates/lentillift/src/merge.rs
@@ -1,8 +1,8 @@
-//! One time line from the time lines of many processes.
+//! Merges the time lines of many processes into one, in causal order.
 //!
-//! Clocks of hosts differ by more than the events lie apart, so an order by clock shows effects
-//! before their causes. Two things are known for sure: the order within one process, and that what
-//! a process received from another was sent before. All else goes by the clock.
+//! Clocks of hosts differ by more than the time between events, so an order by clock alone would
+//! show effects before their causes. Two relations are certain: the order of events within one
+//! process, and that a message was sent before it was received. Other events are ordered by clock.
 
 use lentillift_core::id;
 use lentillift_operator::event::Event;
@@ -13,48 +13,49 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-/// An event with the process it happened in.
+/// An event with the process that it happened in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Placed {
-    /// The host.
+pub struct MergedEvent {
+    /// Host of the process.
     pub host: id::Host,
-    /// The incarnation of the host's process.
+    /// Incarnation of the process.
     pub incarnation: id::Incarnation,
-    /// Time since 1970 in milliseconds, moved so that it never lies before that of a cause.
+    /// Time since the Unix epoch in milliseconds, by the host's clock, but never before the time of its
+    /// cause or of an earlier event of its process.
     pub at_ms: u64,
     /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What was handed over: by which host, and what.
-type Token = (id::Host, String);
+/// A message between processes: the host that sent it, and the token of its content.
+type Message = (id::Host, String);
 
-/// Time lines that are not yet used up.
+/// State of a merge.
 struct Merge {
-    lines: Vec<Line>,
-    /// Lines whose next event may be placed, by its clock.
+    sources: Vec<Source>,
+    /// Sources whose next event may be output, by its clock.
     ready: BinaryHeap<Reverse<(u64, usize)>>,
-    /// Lines whose next event waits for a hand-over.
-    waiting: HashMap<Token, Vec<usize>>,
-    /// Hand-overs that some time line holds and that have not been placed.
-    pending: HashSet<Token>,
-    /// When each hand-over was placed, in milliseconds.
-    placed: HashMap<Token, u64>,
+    /// Sources whose next event received a message that has not been output as sent.
+    waiting: HashMap<Message, Vec<usize>>,
+    /// Messages that occur in some time line and have not been output as sent.
+    pending: HashSet<Message>,
+    /// Time in the merged time line of each message that was output as sent, in milliseconds.
+    sent_ms: HashMap<Message, u64>,
 }
 
-/// The rest of one time line.
-struct Line {
+/// The remaining events of one time line.
+struct Source {
     host: id::Host,
     incarnation: id::Incarnation,
     events: std::iter::Peekable<std::vec::IntoIter<Event>>,
     last_ms: u64,
 }
 
-/// Puts all events in one order.
-pub fn order(pages: Vec<Page>) -> Vec<Placed> {
+/// Merges all events into one causal order.
+pub fn order(pages: Vec<Page>) -> Vec<MergedEvent> {
     let mut merge = Merge::new(pages);
-    for at in 0..merge.lines.len() {
+    for at in 0..merge.sources.len() {
         merge.enqueue(at);
     }
     let mut order = Vec::new();
@@ -74,24 +75,24 @@
                 .filter_map(|event| event.note.token.clone());
             pending.extend(tokens.map(|token| (page.host.clone(), token)));
         }
-        let lines = pages.into_iter().map(|page| Line {
+        let sources = pages.into_iter().map(|page| Source {
             host: page.host,
             incarnation: page.incarnation,
             events: page.events.into_iter().peekable(),
             last_ms: 0,
         });
         Self {
-            lines: lines.collect(),
+            sources: sources.collect(),
             ready: BinaryHeap::new(),
             waiting: HashMap::new(),
             pending,
-            placed: HashMap::new(),
+            sent_ms: HashMap::new(),
         }
     }
 
-    /// Makes a line's next event ready, or lets it wait for its cause.
+    /// Marks a source as ready, or as waiting for the cause of its next event.
     fn enqueue(&mut self, at: usize) {
-        let Some(event) = self.lines[at].events.peek() else {
+        let Some(event) = self.sources[at].events.peek() else {
             return;
         };
         match cause(event).filter(|cause| self.pending.contains(cause)) {
@@ -100,24 +101,24 @@
         }
     }
 
-    /// The next event: the earliest by clock among those whose causes have been placed.
-    fn next(&mut self) -> Option<Placed> {
+    /// Returns the next event: the earliest by clock among those whose causes have been output.
+    fn next(&mut self) -> Option<MergedEvent> {
         let at = match self.ready.pop() {
             Some(Reverse((_, at))) => at,
-            None => self.release()?,
+            None => self.break_cycle()?,
         };
-        let line = &mut self.lines[at];
-        let event = line.events.next()?;
-        let caused = cause(&event).and_then(|cause| self.placed.get(&cause).copied());
-        let at_ms = event.wall_ms.max(line.last_ms).max(caused.unwrap_or(0));
-        line.last_ms = at_ms;
-        let (host, incarnation) = (line.host.clone(), line.incarnation);
-        // Whoever received something may pass it on, so what was received counts as well.
+        let source = &mut self.sources[at];
+        let event = source.events.next()?;
+        let cause_ms = cause(&event).and_then(|cause| self.sent_ms.get(&cause).copied());
+        let at_ms = event.wall_ms.max(source.last_ms).max(cause_ms.unwrap_or(0));
+        source.last_ms = at_ms;
+        let (host, incarnation) = (source.host.clone(), source.incarnation);
+        // The receiver of a message may forward it, so a receipt counts as sending it, too.
         if let Some(token) = event.note.token.clone() {
-            self.place((host.clone(), token), at_ms);
+            self.mark_sent((host.clone(), token), at_ms);
         }
         self.enqueue(at);
-        Some(Placed {
+        Some(MergedEvent {
             host,
             incarnation,
             at_ms,
@@ -125,41 +126,41 @@
         })
     }
 
-    /// Notes that a hand-over has its place; whoever waited for it may follow.
-    fn place(&mut self, token: Token, at_ms: u64) {
-        self.pending.remove(&token);
-        for at in self.waiting.remove(&token).unwrap_or_default() {
+    /// Records that a message was sent, and enqueues the sources that wait for it.
+    fn mark_sent(&mut self, message: Message, at_ms: u64) {
+        self.pending.remove(&message);
+        for at in self.waiting.remove(&message).unwrap_or_default() {
             self.enqueue(at);
         }
-        self.placed.entry(token).or_insert(at_ms);
+        self.sent_ms.entry(message).or_insert(at_ms);
     }
 
-    /// Takes the earliest by clock of the lines that wait.
+    /// Takes the waiting source whose next event is the earliest by clock.
     ///
-    /// All wait where causes form a circle, as in a record with holes; the clock decides.
-    fn release(&mut self) -> Option<usize> {
-        let mut earliest: Option<(Option<u64>, usize, Token)> = None;
-        for (token, waiting) in &self.waiting {
+    /// All sources wait when causes form a cycle, as in time lines with missing events.
+    fn break_cycle(&mut self) -> Option<usize> {
+        let mut earliest: Option<(Option<u64>, usize, Message)> = None;
+        for (message, waiting) in &self.waiting {
             for at in waiting {
-                let clock = self.lines[*at].events.peek().map(|event| event.wall_ms);
+                let clock = self.sources[*at].events.peek().map(|event| event.wall_ms);
                 if earliest
                     .as_ref()
                     .is_none_or(|best| (clock, *at) < (best.0, best.1))
                 {
-                    earliest = Some((clock, *at, token.clone()));
+                    earliest = Some((clock, *at, message.clone()));
                 }
             }
         }
-        let (_, at, token) = earliest?;
-        if let Some(waiting) = self.waiting.get_mut(&token) {
+        let (_, at, message) = earliest?;
+        if let Some(waiting) = self.waiting.get_mut(&message) {
             waiting.retain(|other| *other != at);
         }
         Some(at)
     }
 }
 
-/// The hand-over that an event needs.
-fn cause(event: &Event) -> Option<Token> {
+/// The message that an event received, if any.
+fn cause(event: &Event) -> Option<Message> {
     let from = event.note.from.clone()?;
     Some((from, event.note.token.clone()?))
 }
--- a/crates/lentillift/src/table.rs
+++ b/crates/lentillift/src/table.rs
@@ -1,16 +1,16 @@
-//! Tables of text, and colour where there is a terminal.
+//! Text tables, and coloured text for terminals.
 
 use std::fmt::Write;
 use std::io::IsTerminal;
 
-/// Rows of text whose columns line up.
+/// A table of text with left-aligned columns.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Starts with a row of headings.
+    /// Creates a table with a row of headings.
     pub(crate) fn new(headings: &[&str]) -> Self {
         let headings = headings.iter().map(|heading| (*heading).to_owned());
         Self {
@@ -23,7 +23,7 @@
         self.rows.push(row);
     }
 
-    /// The text.
+    /// Renders the table, with a line feed after each row.
     pub(crate) fn text(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let width = |column| {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Text that should catch the eye: red on a terminal, plain elsewhere or with `NO_COLOR`.
+/// Highlights text that needs attention: red on a terminal, plain elsewhere or with `NO_COLOR`.
 pub(crate) fn alarm(text: &str) -> String {
     let plain = std::env::var_os("NO_COLOR").is_some() || !std::io::stdout().is_terminal();
     match plain {
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The commands about answers and configurations, as a shell sees them.
+//! Exit codes and output of the commands about answers and configurations.
 
 use serde_json::Value;
 use std::path::Path;
@@ -22,8 +22,8 @@
     String::from_utf8(output.stderr.clone()).expect("UTF-8")
 }
 
-/// A directory of the test's own, with a copy of an example in it.
-fn copied(test: &str) -> (PathBuf, String) {
+/// Copies an example into a directory for this test; returns the directory and the file.
+fn copy_example(test: &str) -> (PathBuf, String) {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&directory).expect("directory");
     let file = directory.join("answers.jsonc");
@@ -48,21 +48,21 @@
     unknown_command: ["confgure"] with 2, saying "found confgure";
     unknown_option: ["check", "--loud", NAFISA] with 2, saying "loud";
     missing_argument: ["diff", NAFISA] with 2, saying "found 1 arguments, right is OLD NEW";
-    unknown_way: ["domain", "off", "d1", NAFISA] with 2, saying "found off, right is out or in";
+    unknown_direction: ["domain", "off", "d1", NAFISA] with 2, saying "found off, right is out or in";
     missing_file: ["check", "/nonexistent"] with 1, saying "read /nonexistent";
     unknown_kind: ["check", "--as", "poem", NAFISA] with 2, saying "found poem, right is one of";
     help_shows_examples: ["domain", "--help"] with 0, saying "Examples:\n  lentillift domain out";
     help_of_a_command: ["help", "timeline"] with 0, saying "Usage: lentillift timeline";
     help_shows_exit_codes: ["check", "-h"] with 0, saying "Exit codes:";
-    both_examples_are_right: ["check", NAFISA, KERALA] with 0, saying "right (answers)";
+    both_examples_pass: ["check", NAFISA, KERALA] with 0, saying "right (answers)";
     questionnaire_goes_to_stdout: ["init"] with 0, saying "\"matters_most\"";
     unknown_domain: ["domain", "out", "d9", NAFISA] with 1, saying "found \"d9\", right is one of \"d1\"";
-    decisions_are_told: ["configure", NAFISA] with 0, saying "because coverage matters most";
+    decisions_have_reasons: ["configure", NAFISA] with 0, saying "because coverage matters most";
 }
 
 #[test]
 fn domain_out_revises_answers_and_writes_the_configuration() {
-    let (directory, file) = copied("domain_out");
+    let (directory, file) = copy_example("domain_out");
     let config = directory.join("config.json");
     let config = config.to_str().expect("UTF-8");
     let output = run(&["domain", "out", "d2", &file, "--output", config]);
@@ -85,7 +85,7 @@
 
 #[test]
 fn dry_run_changes_no_file() {
-    let (_, file) = copied("dry_run");
+    let (_, file) = copy_example("dry_run");
     let output = run(&["host", "out", "entry-1", &file, "--dry-run", "--json"]);
     let said: Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!(
@@ -98,7 +98,7 @@
 
 #[test]
 fn faults_come_as_json() {
-    let (_, file) = copied("faults");
+    let (_, file) = copy_example("faults");
     let text = std::fs::read_to_string(&file).expect("answers");
     let text = text.replace("\"slots\": 3", "\"slots\": \"three\"");
     std::fs::write(&file, text).expect("answers");
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn init_keeps_what_is_there() {
-    let (_, file) = copied("init");
+fn init_overwrites_a_file_only_with_force() {
+    let (_, file) = copy_example("init");
     assert_eq!(run(&["init", &file]).status.code(), Some(1));
     let before = std::fs::read(NAFISA).expect("example");
     assert_eq!(std::fs::read(&file).expect("answers"), before);
--- a/crates/lentillift/tests/fleet.rs
+++ b/crates/lentillift/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! What the tool works out from many processes: one order of events, and slow declines.
+//! Merging of time lines, and summaries and declines of a fleet.
 
 use lentillift::fleet::Fleet;
-use lentillift::fleet::declines;
-use lentillift::fleet::merged;
+use lentillift::fleet::find_declines;
+use lentillift::fleet::merge_spans;
 use lentillift::merge;
 use lentillift_operator::event::Event;
 use lentillift_operator::event::Note;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An event: its clock, its detail, what was handed over, and who sent it.
+/// An event: its clock in milliseconds, its detail, its token and the host that sent it.
 type Row = (u64, &'static str, &'static str, &'static str);
 
 fn page(host: &str, rows: &[Row]) -> Page {
@@ -51,23 +51,23 @@
 }
 
 order! {
-    by_clock_where_nothing_else_is_known:
+    unrelated_events_are_ordered_by_clock:
         ["a" => [(1, "a1", "", ""), (5, "a2", "", "")], "b" => [(3, "b1", "", "")]]
         gives [("a1", 1), ("b1", 3), ("a2", 5)];
-    clock_set_back_within_a_process:
+    events_of_a_process_keep_their_order:
         ["a" => [(9, "a1", "", ""), (5, "a2", "", "")], "b" => [(7, "b1", "", "")]]
         gives [("b1", 7), ("a1", 9), ("a2", 9)];
-    received_after_sent_although_the_clock_is_behind:
+    receipt_follows_sending_although_its_clock_is_behind:
         ["a" => [(50, "sent", "config 2", "")], "b" => [(10, "got", "config 2", "a")]]
         gives [("sent", 50), ("got", 50)];
-    passed_on_from_host_to_host:
+    forwarded_from_host_to_host:
         ["c" => [(1, "third", "config 2", "b")], "b" => [(20, "second", "config 2", "a")],
          "a" => [(30, "first", "config 2", "")]]
         gives [("first", 30), ("second", 30), ("third", 30)];
-    sender_unknown_goes_by_clock:
+    event_of_an_unknown_sender_is_ordered_by_clock:
         ["a" => [(8, "a1", "", "")], "b" => [(3, "b1", "config 2", "gone")]]
         gives [("b1", 3), ("a1", 8)];
-    circle_is_broken_by_clock:
+    cycle_is_broken_by_clock:
         ["a" => [(2, "a1", "x", "b")], "b" => [(1, "b1", "x", "a")]]
         gives [("b1", 1), ("a1", 2)];
 }
@@ -80,8 +80,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A revision passes from host to host, and their clocks are off by any amount. All events are
-    /// shown once, each process's in its order, and no host has a revision before its sender.
+    /// A revision is forwarded from host to host, and their clocks are off by any amount. Every event
+    /// must occur once, those of each process in their order, and no receipt before its sending.
     #[test]
     fn no_effect_comes_before_its_cause(clocks in prop::collection::vec(0..1000_u64, 2..40)) {
         let hosts: Vec<String> = (0..clocks.len()).map(|n| format!("h-{n}")).collect();
@@ -110,7 +110,7 @@
     }
 }
 
-/// Coverage in thousandths and p99 in milliseconds, day by day.
+/// Spans of consecutive days, from the coverage in thousandths and the p99 in milliseconds of each.
 fn days(days: &[(u32, u32)]) -> Vec<Span> {
     let day = |(number, (coverage, p99)): (usize, &(u32, u32))| Span {
         start_s: number as u64 * 86_400,
@@ -125,27 +125,27 @@
 }
 
 macro_rules! decline {
-    ($($name:ident: $days:expr => $told:expr;)+) => {$(
+    ($($name:ident: $days:expr => $expected:expr;)+) => {$(
         #[test]
         fn $name() {
-            let told: [&str; _] = $told;
-            assert_eq!(declines(&days(&$days)), told);
+            let expected: [&str; _] = $expected;
+            assert_eq!(find_declines(&days(&$days)), expected);
         }
     )+};
 }
 
 decline! {
-    two_days_say_nothing: [(1000, 100), (900, 300)] => [];
+    two_days_are_too_few: [(1000, 100), (900, 300)] => [];
     steady: [(1000, 100), (999, 104), (1000, 99), (1000, 101)] => [];
     one_bad_day_in_between: [(1000, 100), (1000, 100), (900, 400), (1000, 100), (1000, 100)] => [];
-    less_complete_each_day: [(1000, 100), (999, 100), (998, 100), (997, 100), (996, 100), (995, 100)]
+    coverage_falls_each_day: [(1000, 100), (999, 100), (998, 100), (997, 100), (996, 100), (995, 100)]
         => ["coverage fell from 99.95% to 99.55% over 6 days"];
-    later_each_day: [(1000, 100), (1000, 105), (1000, 112)]
+    p99_rises_each_day: [(1000, 100), (1000, 105), (1000, 112)]
         => ["p99 rose from 100 ms to 112 ms over 3 days"];
 }
 
 #[test]
-fn spans_of_processes_come_together() {
+fn spans_of_processes_are_merged_by_start() {
     let span = |start_s, answers, coverage, p99_ms| Span {
         start_s,
         answers,
@@ -160,18 +160,17 @@
         span(0, 10, 0.6, 90.0),
         span(3600, 5, 1.0, 10.0),
     ];
-    let merged = merged(spans.iter());
+    let merged = merge_spans(spans.iter());
     assert_eq!(merged.len(), 2);
     assert_eq!((merged[0].answers, merged[0].refusals), (40, 2));
     assert!((merged[0].coverage - 0.9).abs() < 1e-9);
     assert_eq!(merged[0].p99_ms, 90.0);
 }
 
-/// One of a hundred hosts stands still for a moment, and its few callers wait two seconds. The fleet's
-/// callers as a whole notice nothing; shown as the fleet's p99, it would wake somebody for nothing, and
-/// hide a slow decline of the others.
+/// One of a hundred hosts stalls for a moment, and its few callers wait two seconds. If that were shown
+/// as the p99 of the fleet, it would raise a false alarm and hide a slow decline of the other hosts.
 #[test]
-fn one_slow_host_is_not_the_fleet() {
+fn one_slow_host_does_not_set_the_p99_of_the_fleet() {
     let host = |answers: u64, took_ms: u64| {
         let mut span = Span {
             answers,
@@ -185,15 +184,15 @@
     };
     let mut spans = vec![host(100, 40); 99];
     spans.push(host(20, 2000));
-    let merged = merged(spans.iter());
+    let merged = merge_spans(spans.iter());
     let p99 = merged[0].p99_ms;
     assert!((35.0..=50.0).contains(&p99), "{p99} ms");
 }
 
-/// A fleet whose processes answer at different speeds: the p99 shown lies where one answer in a
-/// hundred takes longer, within the bounds that times are counted by.
+/// Processes answer at different speeds. The p99 of the fleet must be the time that one in a hundred of
+/// all answers exceeds, within the bounds of a histogram bucket.
 #[test]
-fn the_fleets_p99_counts_all_answers() {
+fn the_p99_of_the_fleet_covers_all_answers() {
     let mut fast = Span {
         answers: 960,
         p99_ms: 30.0,
@@ -210,7 +209,7 @@
     for n in 0..40 {
         slow.times.record(Duration::from_millis(160 + 2 * n));
     }
-    let merged = merged([&fast, &slow].into_iter());
+    let merged = merge_spans([&fast, &slow].into_iter());
     let p99 = merged[0].p99_ms;
     assert!((150.0..=250.0).contains(&p99), "{p99} ms");
 }
@@ -237,10 +236,10 @@
     }
 }
 
-/// One host of many does not hear of a new revision, one sees only a part of the fleet, and one
-/// is not ready. Among hundreds of lines nobody would find them.
+/// One host of many misses a new revision, one sees only a part of the fleet, and one is not ready.
+/// They must be listed, since nobody would find them among hundreds of lines.
 #[test]
-fn unusual_processes_stand_out() {
+fn unusual_processes_are_listed() {
     let mut statuses: Vec<Status> = (0..100)
         .map(|n| status(&format!("h-{n:02}"), 3, 100, true))
         .collect();
--- a/crates/lentillift/tests/help.rs
+++ b/crates/lentillift/tests/help.rs
@@ -1,8 +1,8 @@
-//! Every command explains itself, whatever else its command line lacks.
+//! `--help` works for every command, even if required options and arguments are missing.
 
 use std::process::Command;
 
-macro_rules! explains {
+macro_rules! shows_help {
     ($($name:ident: $command:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -18,7 +18,7 @@
     )*};
 }
 
-explains! {
+shows_help! {
     init: "init";
     configure: "configure";
     check: "check";
--- a/crates/lentillift/tests/operating.rs
+++ b/crates/lentillift/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The operating commands against processes of the system on loopback.
+//! The commands for operators, run against processes on loopback.
 
 use lentillift_core::id;
 use lentillift_core::snapshot::Map;
@@ -38,7 +38,7 @@
 const SERVICE: &str = "archive";
 const HOSTS: [(&str, &str); 2] = [("entry-1", "d1"), ("entry-2", "d2")];
 
-/// Two processes, their platform and two backend servers.
+/// Two processes, their platform and two backend servers, which run until it is dropped.
 struct Fleet {
     platform: Platform,
     operators: Vec<String>,
@@ -155,7 +155,7 @@
 }
 
 impl Fleet {
-    /// Runs the tool with the operators' ports as its last arguments.
+    /// Runs the tool with the addresses of the operators' ports as its last arguments.
     fn run(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lentillift"));
         command.args(arguments).args(&self.operators);
@@ -175,14 +175,14 @@
         command.output().expect("the tool starts")
     }
 
-    /// Waits until all processes have revision `revision` in force and serve callers.
+    /// Waits until `revision` is in force on all processes.
     fn wait(&self, revision: u64) {
         let number = revision.to_string();
         let output = self.run(&["status", "--wait-revision", &number]);
         assert_eq!(output.status.code(), Some(0), "{output:?}");
     }
 
-    /// Waits until all processes serve callers, which takes a lease's term from their start.
+    /// Waits until all processes are ready, which takes the duration of a lease from their start.
     fn wait_ready(&self) {
         let ready = || {
             let status = self.json(&["status", "--json"]);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn an_operator_sees_a_revision_come_into_force() {
+fn status_shows_when_a_revision_comes_into_force() {
     let fleet = start();
     fleet.wait(1);
     let late = fleet.run(&["status", "--wait-revision", "2", "--timeout", "0"]);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_query_and_the_service_it_is_counted_for() {
+fn queries_and_refusals_are_counted_for_their_service() {
     let fleet = start();
     fleet.wait(1);
     fleet.wait_ready();
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn events_of_all_processes_come_as_text_json_and_page() {
+fn timeline_shows_all_processes_as_text_json_and_page() {
     let fleet = start();
     fleet.wait(1);
     let events = fleet.json(&["timeline", "--json"]);
@@ -283,10 +283,10 @@
     assert!(!page.contains("http://") && !page.contains("https://"));
 }
 
-/// One of the hosts an operator asks about is gone. The others are shown all the same, and a
-/// script learns of the gap from the exit code.
+/// One of several processes can't be reached. The others must be shown all the same, and the exit
+/// code must tell scripts that the output is incomplete.
 #[test]
-fn an_unreachable_process_is_told_apart() {
+fn an_unreachable_process_is_reported() {
     let mut fleet = start();
     fleet.wait(1);
     fleet.operators.push("127.0.0.1:1".to_owned());
@@ -303,8 +303,7 @@
     assert!(text(&output.stdout).contains("\"error\""));
 }
 
-/// With many processes an operator would look at a screenful of lines that are all alike, and miss
-/// the one that matters.
+/// With a line for each of many processes, an operator would miss the one that differs.
 #[test]
 fn many_processes_are_summed_up_by_failure_domain() {
     let runtime = Runtime::new().expect("runtime");
@@ -332,13 +331,13 @@
         text(&command.output().expect("the tool starts").stdout)
     };
     let said = run("--days=1");
-    let words = |line: &str| {
+    let cells = |line: &str| {
         line.split_whitespace()
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let rows: Vec<Vec<String>> = said.lines().map(words).collect();
-    assert!(rows.contains(&words("d2 10 9 4 0 0 0 0 0")), "{said}");
+    let rows: Vec<Vec<String>> = said.lines().map(cells).collect();
+    assert!(rows.contains(&cells("d2 10 9 4 0 0 0 0 0")), "{said}");
     assert!(
         said.contains("entry-17") && !said.contains("entry-18"),
         "{said}"
--- a/crates/lentillift/tests/quarantine.rs
+++ b/crates/lentillift/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! The command that shows quarantined requests and lifts them, against a process that answers by a table.
+//! `lentillift quarantine`, run against a fake process with fixed responses.
 
 use std::io::Read;
 use std::io::Write;
@@ -6,10 +6,12 @@
 use std::net::TcpListener;
 use std::process::Command;
 
-const HELD: &str = "9c41d07be2a35f68 quarantined ends=3 age_s=4 left_s=596\n";
+/// The list of the fake process: one quarantined request.
+const RECORDS: &str = "9c41d07be2a35f68 quarantined ends=3 age_s=4 left_s=596\n";
 
-/// Answers each request: the list, a lift of what is held, and 404 to everything else.
-fn process() -> SocketAddr {
+/// Starts a fake process that returns the list, accepts a lift of the listed request, and responds
+/// with 404 to everything else.
+fn start_process() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -22,7 +24,7 @@
             }
             let request = String::from_utf8(request).expect("text");
             let (status, body) = match request.split(" HTTP").next() {
-                Some("GET /quarantine") => ("200 OK", HELD),
+                Some("GET /quarantine") => ("200 OK", RECORDS),
                 Some("DELETE /quarantine/9c41d07be2a35f68") => ("200 OK", ""),
                 _ => ("404 Not Found", ""),
             };
@@ -44,7 +46,7 @@
             let output = Command::new(env!("CARGO_BIN_EXE_lentillift"))
                 .arg("quarantine")
                 .args(arguments)
-                .arg(process().to_string())
+                .arg(start_process().to_string())
                 .output()
                 .expect("run");
             let said = [output.stdout, output.stderr].concat();
@@ -56,7 +58,7 @@
 }
 
 quarantine! {
-    it_lists_what_is_held: [] => true, HELD;
-    it_lifts_what_is_held: ["--lift", "9c41d07be2a35f68"] => true, "lifted 9c41d07be2a35f68";
-    it_says_that_nothing_is_held: ["--lift", "0123"] => false, "does not hold 0123";
+    lists_records: [] => true, RECORDS;
+    lifts_a_known_request: ["--lift", "9c41d07be2a35f68"] => true, "lifted 9c41d07be2a35f68";
+    fails_to_lift_an_unknown_request: ["--lift", "0123"] => false, "does not hold 0123";
 }
