--- a/crates/lentillift/src/command/init.rs
+++ b/crates/lentillift/src/command/init.rs
@@ -41,12 +41,7 @@
             return Ok(Exit::Done);
         }
         [file] => file,
-        _ => {
-            return Err(UsageError(
-                "found several arguments, at most one FILE is right".to_owned(),
-            )
-            .into());
-        }
+        _ => return Err(UsageError("at most one FILE is right".to_owned()).into()),
     };
     if exists(file) && !matches.opt_present("force") {
         anyhow::bail!("{file} already exists; --force overwrites it");
