--- a/crates/lentillift/src/story.rs
+++ b/crates/lentillift/src/story.rs
@@ -9,7 +9,7 @@
 /// Default time before the start of a request from which state changes are shown, in seconds.
 ///
 /// An update reaches every host in well under a second, and a lost origin is given up within two.
-pub const AROUND: f64 = 5.0;
+pub const DEFAULT_LOOKBACK_S: f64 = 5.0;
 
 /// Events that log a change in the state of a process and belong to no request.
 const STATE_EVENTS: [&str; 11] = [
--- a/crates/lentillift/tests/story.rs
+++ b/crates/lentillift/tests/story.rs
@@ -1,6 +1,6 @@
 //! Explanations of requests from logs that are complete, mixed with other lines, or cut off.
 
-use lentillift::story::AROUND;
+use lentillift::story::DEFAULT_LOOKBACK_S;
 use lentillift::story::Explanation;
 
 const LATE: &str = r#"{"timestamp":"2026-04-18T18:12:11.500Z","level":"INFO","message":"answered","event":"request","id":"9c","outcome":"partial","late":true,"took_ms":150,"repeats":1,"unpaid":2,"missing":"s3"}"#;
@@ -12,7 +12,7 @@
 
 fn story(id: &str, logs: &[&[&str]]) -> Explanation {
     let logs: Vec<(&str, String)> = logs.iter().map(|lines| ("log", lines.join("\n"))).collect();
-    Explanation::find(id, AROUND, &logs)
+    Explanation::find(id, DEFAULT_LOOKBACK_S, &logs)
 }
 
 #[test]
