--- a/crates/lentillift/src/command/explain.rs
+++ b/crates/lentillift/src/command/explain.rs
@@ -8,8 +8,8 @@
 use anyhow::Context;
 use getopts::Matches;
 use getopts::Options;
-use lentillift::story;
-use lentillift::story::Explanation;
+use lentillift::explanation;
+use lentillift::explanation::Explanation;
 use std::io::Read;
 
 /// The command.
@@ -52,7 +52,7 @@
     if files.is_empty() {
         return Err(UsageError("found no log, right is ID FILE...".to_owned()).into());
     }
-    let around = matches.opt_get_default("around", story::DEFAULT_LOOKBACK_S)?;
+    let around = matches.opt_get_default("around", explanation::DEFAULT_LOOKBACK_S)?;
     let mut logs = Vec::new();
     for file in files {
         logs.push((file.as_str(), read_log(file)?));
--- a/crates/lentillift/src/lib.rs
+++ b/crates/lentillift/src/lib.rs
@@ -2,6 +2,6 @@
 
 #![forbid(unsafe_code)]
 
+pub mod explanation;
 pub mod fleet;
 pub mod merge;
-pub mod story;
--- a/crates/lentillift/tests/story.rs
+++ b/crates/lentillift/tests/explanation.rs
@@ -1,7 +1,7 @@
 //! Explanations of requests from logs that are complete, mixed with other lines, or cut off.
 
-use lentillift::story::DEFAULT_LOOKBACK_S;
-use lentillift::story::Explanation;
+use lentillift::explanation::DEFAULT_LOOKBACK_S;
+use lentillift::explanation::Explanation;
 
 const LATE: &str = r#"{"timestamp":"2026-04-18T18:12:11.500Z","level":"INFO","message":"answered","event":"request","id":"9c","outcome":"partial","late":true,"took_ms":150,"repeats":1,"unpaid":2,"missing":"s3"}"#;
 const REPEAT: &str = r#"{"timestamp":"2026-04-18T18:12:11.400Z","level":"INFO","message":"asked another replica","event":"repeat","id":"9c","service":"s3","backend":"b3"}"#;
