--- a/crates/lentillift/src/explanation.rs
+++ b/crates/lentillift/src/explanation.rs
@@ -146,7 +146,7 @@
                 let _ = writeln!(
                     text,
                     "no line about {}: it was served as usual and not sampled, or these are not the \
-                     logs of the hosts that it met",
+                     logs of the hosts that handled it",
                     self.id
                 );
             }
@@ -195,7 +195,7 @@
             };
         }
         let Some(end) = about.iter().rev().find(|line| line.event() == "request") else {
-            return "cause: no host says how it ended: its host went away before it answered"
+            return "cause: no log line says how it ended: its host terminated before it answered"
                 .to_owned();
         };
         let text = |key: &str| {
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -36,9 +36,9 @@
         #[test]
         fn $name() {
             let output = run(&[$($argument),*]);
-            let said = stdout(&output) + &stderr(&output);
-            assert_eq!(output.status.code(), Some($code), "{said}");
-            assert!(said.contains($text), "{said}");
+            let printed = stdout(&output) + &stderr(&output);
+            assert_eq!(output.status.code(), Some($code), "{printed}");
+            assert!(printed.contains($text), "{printed}");
         }
     )+};
 }
@@ -87,9 +87,9 @@
 fn dry_run_changes_no_file() {
     let (_, file) = copy_example("dry_run");
     let output = run(&["host", "out", "entry-1", &file, "--dry-run", "--json"]);
-    let said: Value = serde_json::from_str(&stdout(&output)).expect("JSON");
+    let printed: Value = serde_json::from_str(&stdout(&output)).expect("JSON");
     assert_eq!(
-        (&said["changed"], &said["revision"]),
+        (&printed["changed"], &printed["revision"]),
         (&true.into(), &2.into())
     );
     let before = std::fs::read(NAFISA).expect("example");
--- a/crates/lentillift/tests/operating.rs
+++ b/crates/lentillift/tests/operating.rs
@@ -238,10 +238,10 @@
     fleet.wait_ready();
     let answered = fleet.query("clerks", &["--allowance-ms", "5000"]);
     assert_eq!(answered.status.code(), Some(0), "{answered:?}");
-    let said = text(&answered.stdout);
+    let printed = text(&answered.stdout);
     assert!(
-        said.starts_with("Snapshot 1: 4 of 4 shards, 100.000% of the data"),
-        "{said}"
+        printed.starts_with("Snapshot 1: 4 of 4 shards, 100.000% of the data"),
+        "{printed}"
     );
     let refused = fleet.query("nobody", &[]);
     assert_eq!(refused.status.code(), Some(1));
@@ -292,10 +292,10 @@
     fleet.operators.push("127.0.0.1:1".to_owned());
     let output = fleet.run(&["status"]);
     assert_eq!(output.status.code(), Some(3));
-    let said = text(&output.stdout);
+    let printed = text(&output.stdout);
     assert!(
-        said.contains("entry-1") && said.contains("127.0.0.1:1: not reached"),
-        "{said}"
+        printed.contains("entry-1") && printed.contains("127.0.0.1:1: not reached"),
+        "{printed}"
     );
     fleet.operators.drain(..2);
     let output = fleet.run(&["timeline", "--json"]);
@@ -330,17 +330,17 @@
         command.arg("status").arg(option).args(&addresses);
         text(&command.output().expect("the tool starts").stdout)
     };
-    let said = run("--days=1");
+    let printed = run("--days=1");
     let cells = |line: &str| {
         line.split_whitespace()
             .map(str::to_owned)
             .collect::<Vec<_>>()
     };
-    let rows: Vec<Vec<String>> = said.lines().map(cells).collect();
-    assert!(rows.contains(&cells("d2 10 9 4 0 0 0 0 0")), "{said}");
+    let rows: Vec<Vec<String>> = printed.lines().map(cells).collect();
+    assert!(rows.contains(&cells("d2 10 9 4 0 0 0 0 0")), "{printed}");
     assert!(
-        said.contains("entry-17") && !said.contains("entry-18"),
-        "{said}"
+        printed.contains("entry-17") && !printed.contains("entry-18"),
+        "{printed}"
     );
     assert!(run("--nodes").contains("entry-18"));
 }
--- a/crates/lentillift/tests/quarantine.rs
+++ b/crates/lentillift/tests/quarantine.rs
@@ -49,10 +49,10 @@
                 .arg(start_process().to_string())
                 .output()
                 .expect("run");
-            let said = [output.stdout, output.stderr].concat();
-            let said = String::from_utf8(said).expect("text");
-            assert_eq!(output.status.success(), $succeeds, "{said}");
-            assert!(said.contains($says), "{said}");
+            let printed = [output.stdout, output.stderr].concat();
+            let printed = String::from_utf8(printed).expect("text");
+            assert_eq!(output.status.success(), $succeeds, "{printed}");
+            assert!(printed.contains($says), "{printed}");
         }
     )*};
 }
