--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -98,7 +98,7 @@
         inputs: mpsc::Sender<Input>,
     ) -> Self {
         let options = lentillift_fleet::lease_manager::Options::default();
-        board.set_settled(false);
+        board.set_leases_ready(false);
         Self {
             owner: Owner::new(),
             tenure: LeaseManager::new(
@@ -150,7 +150,7 @@
                     let now = self.clock.now();
                     let effects = self.tenure.tick(now);
                     self.apply_lease_effects(now, effects).await;
-                    self.board.set_settled(self.tenure.is_ready(now));
+                    self.board.set_leases_ready(self.tenure.is_ready(now));
                 }
                 () = sleep_until(self.clock, wake) => {
                     self.handle(self.clock.now(), Event::Tick).await;
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -77,7 +77,7 @@
         let labels = [("service", &**service), ("reason", &*reason)];
         board.add("lentillift_shards_missing_total", &labels, 1);
     }
-    board.answered(service, latency, coverage.share());
+    board.record_answer(service, latency, coverage.share());
 }
 
 /// Counts a refusal by its cause.
@@ -89,7 +89,7 @@
         ("cause", cause_label(refusal.cause)),
     ];
     board.add("lentillift_refusals_total", &labels, 1);
-    board.refused(service);
+    board.record_refusal(service);
 }
 
 /// Adds a request that may or may not have run to the time line.
