--- a/crates/lentillift/src/command.rs
+++ b/crates/lentillift/src/command.rs
@@ -147,7 +147,7 @@
     let found = free.len();
     free.try_into().map_err(|_| {
         let names = names.join(" ");
-        UsageError(format!("found {found} arguments, right is {names}")).into()
+        UsageError(format!("found {found} arguments, expected {names}")).into()
     })
 }
 
--- a/crates/lentillift/src/command/check.rs
+++ b/crates/lentillift/src/command/check.rs
@@ -86,7 +86,7 @@
     let known = KINDS.map(|(known, _)| known).join(", ");
     found
         .map(|(_, kind)| *kind)
-        .ok_or_else(|| UsageError(format!("--as: found {name}, right is one of {known}")))
+        .ok_or_else(|| UsageError(format!("--as: found {name}, expected one of {known}")))
 }
 
 /// Checks a file; answers are checked by generating a configuration from them as well.
--- a/crates/lentillift/src/command/explain.rs
+++ b/crates/lentillift/src/command/explain.rs
@@ -47,10 +47,10 @@
 
 fn run(matches: &Matches) -> anyhow::Result<Exit> {
     let Some((id, files)) = matches.free.split_first() else {
-        return Err(UsageError("found no request id, right is ID FILE...".to_owned()).into());
+        return Err(UsageError("found no request id, expected ID FILE...".to_owned()).into());
     };
     if files.is_empty() {
-        return Err(UsageError("found no log, right is ID FILE...".to_owned()).into());
+        return Err(UsageError("found no log, expected ID FILE...".to_owned()).into());
     }
     let lookback_s = matches.opt_get_default("around", explanation::DEFAULT_LOOKBACK_S)?;
     let mut logs = Vec::new();
--- a/crates/lentillift/src/command/query.rs
+++ b/crates/lentillift/src/command/query.rs
@@ -58,7 +58,7 @@
     let (address, service, body) = match matches.free.as_slice() {
         [address, service] => (address, service, "{}"),
         [address, service, body] => (address, service, body.as_str()),
-        _ => return Err(UsageError("right is ADDR SERVICE [BODY]".to_owned()).into()),
+        _ => return Err(UsageError("expected ADDR SERVICE [BODY]".to_owned()).into()),
     };
     let address = fetch::parse_address(address)?;
     let caller = matches.opt_str("caller");
--- a/crates/lentillift/src/command/service.rs
+++ b/crates/lentillift/src/command/service.rs
@@ -68,7 +68,7 @@
     let way = match direction.as_str() {
         "out" => Direction::Out,
         "in" => Direction::In,
-        other => return Err(UsageError(format!("found {other}, right is out or in")).into()),
+        other => return Err(UsageError(format!("found {other}, expected out or in")).into()),
     };
     let text = read(&file)?;
     let before = configure::generate_config(&file, &Answers::parse(&file, &text)?)?.config;
--- a/crates/lentillift/src/command/status.rs
+++ b/crates/lentillift/src/command/status.rs
@@ -100,8 +100,8 @@
     T: FromStr,
 {
     let text = matches.opt_str(name);
-    let wrong = |text| UsageError(format!("--{name}: found {text}, right is a whole number"));
-    text.map(|text| text.parse().map_err(|_| wrong(text)))
+    let usage_error = |text| UsageError(format!("--{name}: found {text}, expected a whole number"));
+    text.map(|text| text.parse().map_err(|_| usage_error(text)))
         .transpose()
 }
 
--- a/crates/lentillift/src/fetch.rs
+++ b/crates/lentillift/src/fetch.rs
@@ -40,9 +40,9 @@
 
 /// Parses an IP address with its port.
 pub(crate) fn parse_address(text: &str) -> Result<SocketAddr, UsageError> {
-    let right = "right is an IP address with its port, like 10.0.0.7:7072";
+    let expected = "expected an IP address with its port, like 10.0.0.7:7072";
     text.parse()
-        .map_err(|_| UsageError(format!("found {text}, {right}")))
+        .map_err(|_| UsageError(format!("found {text}, {expected}")))
 }
 
 /// An HTTP client that returns responses of any status and follows no redirects.
@@ -89,7 +89,7 @@
     let mut response = called.map_err(|e| e.to_string())?;
     let status = response.status().as_u16();
     if status != 200 {
-        return Err(format!("found status {status}, right is 200"));
+        return Err(format!("found status {status}, expected 200"));
     }
     let body = response
         .body_mut()
--- a/crates/lentillift/src/main.rs
+++ b/crates/lentillift/src/main.rs
@@ -37,7 +37,7 @@
             ExitCode::SUCCESS
         }
         other => {
-            eprintln!("lentillift: found {other}, right is one of the commands below");
+            eprintln!("lentillift: found {other}, expected one of the commands below");
             eprint!("{}", help());
             Exit::Usage.into()
         }
--- a/crates/lentillift/tests/answers.rs
+++ b/crates/lentillift/tests/answers.rs
@@ -47,10 +47,10 @@
     no_command: [] with 2, saying "Usage: lentillift COMMAND";
     unknown_command: ["confgure"] with 2, saying "found confgure";
     unknown_option: ["check", "--loud", NAFISA] with 2, saying "loud";
-    missing_argument: ["diff", NAFISA] with 2, saying "found 1 arguments, right is OLD NEW";
-    unknown_direction: ["domain", "off", "d1", NAFISA] with 2, saying "found off, right is out or in";
+    missing_argument: ["diff", NAFISA] with 2, saying "found 1 arguments, expected OLD NEW";
+    unknown_direction: ["domain", "off", "d1", NAFISA] with 2, saying "found off, expected out or in";
     missing_file: ["check", "/nonexistent"] with 1, saying "read /nonexistent";
-    unknown_kind: ["check", "--as", "poem", NAFISA] with 2, saying "found poem, right is one of";
+    unknown_kind: ["check", "--as", "poem", NAFISA] with 2, saying "found poem, expected one of";
     help_shows_examples: ["domain", "--help"] with 0, saying "Examples:\n  lentillift domain out";
     help_of_a_command: ["help", "timeline"] with 0, saying "Usage: lentillift timeline";
     help_shows_exit_codes: ["check", "-h"] with 0, saying "Exit codes:";
