--- a/crates/lentillift-operator/src/catalog.rs
+++ b/crates/lentillift-operator/src/catalog.rs
@@ -12,47 +12,47 @@
     ),
     (
         "lentillift_backend_chilled_total",
-        "Times that a backend server was treated as cold again.",
+        "Times that a backend server was held to be cold again.",
     ),
     (
         "lentillift_backend_leaving_total",
-        "Times that a backend server reported that it is draining.",
+        "Times that a backend server said that it is leaving.",
     ),
     (
         "lentillift_backend_limit_fell_total",
-        "Times that a backend server's slot limit was lowered because it was slow.",
+        "Times that a backend server's limit fell because it was slow.",
     ),
     (
         "lentillift_backend_limit_rose_total",
-        "Times that a backend server's slot limit was raised again.",
+        "Times that a backend server's limit rose again.",
     ),
     (
         "lentillift_backend_paused_total",
-        "Times that sends to a backend server were paused because it failed.",
+        "Times that a backend server was given nothing because it failed.",
     ),
     (
         "lentillift_backend_warm_total",
-        "Times that a backend server finished its warm-up and got its full share of load.",
+        "Times that a backend server reached its full share.",
     ),
     (
         "lentillift_backend_well_total",
-        "Times that sends to a backend server were resumed after it had failed.",
+        "Times that a backend server was given work again after it failed.",
     ),
     (
         "lentillift_backends_cold",
-        "Backend servers owned by this process that are still warming up.",
+        "Backend servers owned here that do not have their full share yet.",
     ),
     (
         "lentillift_backends_owned",
-        "Backend servers owned by this process that it has sent requests to.",
+        "Backend servers owned here that have been sent work.",
     ),
     (
         "lentillift_coalesced_total",
-        "Queries that shared the execution of an identical query.",
+        "Queries that shared the run of an identical one.",
     ),
     (
         "lentillift_claims_total",
-        "Lease claims and renewals, counted once for each guardian that they were sent to.",
+        "Leases claimed or renewed, counted once for each guardian asked.",
     ),
     (
         "lentillift_datagram_bytes_total",
@@ -60,7 +60,7 @@
     ),
     (
         "lentillift_datagrams_bad_total",
-        "Datagrams that could not be encoded or decoded.",
+        "Datagrams that could not be made or made sense of.",
     ),
     (
         "lentillift_datagrams_total",
@@ -72,15 +72,15 @@
     ),
     (
         "lentillift_fresh_starts_total",
-        "Queries restarted because a shard had dropped the snapshot.",
+        "Queries started anew because a shard had dropped the snapshot.",
     ),
     (
         "lentillift_gateway_age_seconds",
-        "Age of the published state known to this process, in seconds; -1 before the first update.",
+        "Age of what is believed of the published state, in seconds; -1 before the first news.",
     ),
     (
         "lentillift_gateway_backend_connections_idle",
-        "Idle connections to backend servers.",
+        "Connections to backend servers without a request.",
     ),
     (
         "lentillift_gateway_backend_connections_opened",
@@ -88,15 +88,15 @@
     ),
     (
         "lentillift_gateway_budget_left",
-        "Retries and hedges that the budgets of all services still allow this process now.",
+        "Repeated sends that the budgets of all services still allow this process now.",
     ),
     (
         "lentillift_gateway_caller_connections_total",
-        "Connections accepted from callers.",
+        "Connections of callers that were taken.",
     ),
     (
         "lentillift_gateway_caught_up_total",
-        "Requests that waited for an update because the published state was older than its bound, by whether an update arrived.",
+        "Requests that waited for news because what is believed was older than its bound, by whether news came.",
     ),
     (
         "lentillift_gateway_config_version",
@@ -104,43 +104,43 @@
     ),
     (
         "lentillift_gateway_datagrams_malformed_total",
-        "Datagrams that could not be decoded.",
+        "Datagrams that could not be understood.",
     ),
     (
         "lentillift_gateway_followers",
-        "Hosts that receive the published state from this one.",
+        "Hosts that learn from this one what is published.",
     ),
     (
         "lentillift_gateway_hosts",
-        "Hosts that may be running, this one included.",
+        "Hosts that may be at work, this one included.",
     ),
     (
         "lentillift_gateway_log_lines_dropped",
-        "Log lines suppressed or dropped since the start.",
+        "Log lines left out or dropped since the start.",
     ),
     (
         "lentillift_gateway_memory_bytes",
-        "Resident memory of the process, in bytes.",
+        "Memory of the process, in bytes.",
     ),
     (
         "lentillift_gateway_news_heard_bytes_total",
-        "Bytes of published state received from other hosts.",
+        "Bytes of published state that were heard from other hosts.",
     ),
     (
         "lentillift_gateway_news_told_bytes_total",
-        "Bytes of published state sent to followers.",
+        "Bytes of published state that were told to followers.",
     ),
     (
         "lentillift_gateway_origins_lost_total",
-        "Times that the origin of the published state was given up because it failed or its state was stale, by kind.",
+        "Times that whoever told what is published was left because it failed or its knowledge was old, by kind.",
     ),
     (
         "lentillift_gateway_outdated_total",
-        "Times that the published state known to this process became older than its bound on age.",
+        "Times that what is believed of the published state became older than the bound on news.",
     ),
     (
         "lentillift_gateway_repeats_refused_total",
-        "Retries and hedges that the budget did not allow.",
+        "Repeated sends that the budget did not allow.",
     ),
     (
         "lentillift_gateway_request_seconds",
@@ -152,27 +152,27 @@
     ),
     (
         "lentillift_gateway_send_seconds",
-        "Time from a send to its end, by route, hop (near, far: a backend server of this failure domain or another; host: another host's first reply; rest: its later ones) and outcome, in seconds.",
+        "Time from a send to its end, by route, hop (near, far: a backend server of this failure domain or another; host: another host's first word; rest: its next ones) and outcome, in seconds.",
     ),
     (
         "lentillift_gateway_sends_total",
-        "Sends to backend servers and other hosts, by destination.",
+        "Sends to backend servers and other hosts, by where they went.",
     ),
     (
         "lentillift_gateway_quarantine_changes_total",
-        "State changes in the quarantine of requests during which backend servers terminated, by new state.",
+        "Changes in what is held of requests under which backend servers ended, by what is held now.",
     ),
     (
         "lentillift_gateway_servers_ended_total",
-        "Requests whose backend server terminated while it ran them.",
+        "Requests whose backend server ended while it had them.",
     ),
     (
         "lentillift_gateway_service_calls_total",
-        "Calls to the configuration service, by kind and outcome.",
+        "Calls to the service that publishes, by kind and outcome.",
     ),
     (
         "lentillift_gateway_timer_lag_seconds",
-        "How late timers fire on average; more than a few milliseconds mean a shortage of processor time.",
+        "How late timers fire on average: above some milliseconds the processor is short.",
     ),
     (
         "lentillift_hedges_busy_total",
@@ -189,15 +189,15 @@
     ("lentillift_hedges_won_total", "Hedges that replied first."),
     (
         "lentillift_kept_answers_total",
-        "Queries answered from the cache.",
+        "Queries that were given an answer kept from before.",
     ),
     (
         "lentillift_owner_misrouted_total",
-        "Sub-requests for a backend server that is not owned by this process or is out of service.",
+        "Sub-requests for a backend server that is not owned here or is out.",
     ),
     (
         "lentillift_owner_refused_cold_total",
-        "Sub-requests refused because the backend server is cold and at its limit.",
+        "Sub-requests refused because the backend server is cold and full.",
     ),
     (
         "lentillift_owner_refused_hedges_total",
@@ -209,23 +209,20 @@
     ),
     (
         "lentillift_owner_refused_unwell_total",
-        "Sub-requests refused because the backend server is failing.",
+        "Sub-requests refused because the backend server fails.",
     ),
     (
         "lentillift_platform_calls_total",
         "Calls to the configuration service, by kind.",
     ),
-    (
-        "lentillift_queries_waiting",
-        "Queries that are not yet answered.",
-    ),
+    ("lentillift_queries_waiting", "Queries whose callers wait."),
     (
         "lentillift_query_seconds",
         "Time from a query's arrival to its answer, over the last one to two minutes.",
     ),
     (
         "lentillift_queue",
-        "Sub-requests queued for the backend servers owned by this process.",
+        "Sub-requests that wait for the backend servers owned here.",
     ),
     (
         "lentillift_ready",
@@ -249,7 +246,7 @@
     ),
     (
         "lentillift_series_dropped_total",
-        "Samples dropped because their metric name has the maximum number of series.",
+        "Additions to series beyond the bound of one name.",
     ),
     (
         "lentillift_shards_answered_total",
@@ -265,7 +262,7 @@
     ),
     (
         "lentillift_sync_dropped_total",
-        "Messages of the membership protocol dropped because the queue was full.",
+        "Messages of the membership protocol dropped for want of room.",
     ),
 ];
 
