--- a/crates/lentillift-caller/src/call.rs
+++ b/crates/lentillift-caller/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls as they pass from the listener to the tasks that carry them out.
+//! Messages from the HTTP listener to the tasks that execute requests of callers.
 
 use lentillift_core::id;
 use lentillift_core::refusal::Refusal;
@@ -8,39 +8,39 @@
 use lentillift_once::submit::ActionResponse;
 use tokio::sync::oneshot;
 
-/// A call of a caller.
+/// A request of a caller, or its cancellation, with the channel for the response.
 #[derive(Debug)]
 pub enum Call {
-    /// A query.
+    /// A search over the shards of a service.
     Query {
-        /// The call's number.
+        /// Number of the request, unique in this process.
         request: id::Request,
-        /// What is asked.
+        /// The parsed query.
         ask: SearchRequest,
-        /// Where the answer goes.
+        /// Receives the answer or the refusal.
         reply: oneshot::Sender<Result<Answer, Refusal>>,
     },
-    /// The caller of a query went away.
+    /// The caller of a query closed its connection before the answer.
     Gone {
-        /// The call's number.
+        /// Number of the query.
         request: id::Request,
     },
-    /// A caller wants an id for a request that may run at most once.
+    /// A request for a new id, under which an action runs at most once.
     Issue {
-        /// The service that the id is for.
+        /// Service on which the action will run.
         service: id::Service,
-        /// The caller.
+        /// Caller that will send the action.
         caller: id::Caller,
-        /// Where the id goes.
+        /// Receives the id or the refusal.
         reply: oneshot::Sender<Result<String, Refusal>>,
     },
-    /// A request that may run at most once.
+    /// An action, which runs at most once under its id.
     Action {
-        /// The call's number.
+        /// Number of the request, unique in this process.
         request: id::Request,
-        /// What is asked.
+        /// The parsed action.
         submit: ActionRequest,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<ActionResponse>,
     },
 }
--- a/crates/lentillift-caller/src/lib.rs
+++ b/crates/lentillift-caller/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface to callers.
+//! The HTTP interface to callers: parses queries and actions, and renders answers and refusals.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-caller/src/parse.rs
+++ b/crates/lentillift-caller/src/parse.rs
@@ -1,4 +1,4 @@
-//! Making sense of what callers send.
+//! Parsing of requests from callers.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -19,76 +19,76 @@
 /// Header with the caller's name.
 pub const CALLER: &str = "x-caller";
 
-/// Header with the time allowance, in milliseconds.
+/// Header with the time allowance of a request, in milliseconds.
 pub const ALLOWANCE: &str = "x-allowance-ms";
 
-/// Header with the least share of the data that the caller accepts, from 0 to 1.
+/// Header with the minimum share of the data that an answer must cover, from 0 to 1.
 pub const LEAST_COVERAGE: &str = "x-least-coverage";
 
-/// Header with the id of a request that may run at most once.
-pub const KEY: &str = "idempotency-key";
+/// Header with the id of an action, under which it runs at most once.
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Hits that an answer holds when the query does not say.
+/// Maximum number of hits in an answer when the query sets no `limit`.
 const DEFAULT_LIMIT: usize = 10;
 
-/// Hits that a query may ask for.
-const MOST_HITS: usize = 1000;
+/// Largest `limit` that a query may set.
+const MAX_LIMIT: usize = 1000;
 
-/// What a caller asks for.
+/// A parsed request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Route {
-    /// A query.
+    /// A search over the shards of a service.
     Query(SearchRequest),
-    /// An id for a request that may run at most once.
+    /// A request for a new id, under which an action runs at most once.
     Issue {
-        /// The service that the id is for.
+        /// Service on which the action will run.
         service: id::Service,
-        /// The caller.
+        /// Caller that will send the action.
         caller: id::Caller,
     },
-    /// A request that may run at most once.
+    /// An action, which runs at most once under its id.
     Action(ActionRequest),
 }
 
-/// Why a request was not understood.
+/// Why a request was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
-    /// There is no such route.
+pub enum RouteError {
+    /// The path matches no route.
     NoRoute,
-    /// The route takes POST only.
+    /// The method is not POST, the only one that the routes accept.
     Method,
-    /// The request is malformed.
+    /// A header or the body is missing or malformed.
     Refused(Refusal),
 }
 
-/// The fields of a query's body; all but `limit` are the backend servers' own.
+/// The fields of a query's body. Only `limit` is read here; the backend servers interpret the rest.
 type Body<'a> = HashMap<Cow<'a, str>, &'a RawValue>;
 
 /// Parses a request.
 ///
 /// # Errors
 ///
-/// Says what was found and what would be right.
-pub fn route(request: &Request<Bytes>) -> Result<Route, Fault> {
+/// States what was found and what was expected.
+pub fn route(request: &Request<Bytes>) -> Result<Route, RouteError> {
     let path = request.uri().path();
     let Some((service, verb)) = path
         .strip_prefix("/v1/services/")
         .and_then(|rest| rest.split_once('/'))
     else {
-        return Err(Fault::NoRoute);
+        return Err(RouteError::NoRoute);
     };
     if !matches!(verb, "query" | "ids" | "action") {
-        return Err(Fault::NoRoute);
+        return Err(RouteError::NoRoute);
     }
     if request.method() != Method::POST {
-        return Err(Fault::Method);
+        return Err(RouteError::Method);
     }
     match verb {
         "query" => query(service, request).map(Route::Query),
         "action" => action(service, request).map(Route::Action),
         _ => issue(service, request),
     }
-    .map_err(Fault::Refused)
+    .map_err(RouteError::Refused)
 }
 
 fn query(service: &str, request: &Request<Bytes>) -> Result<SearchRequest, Refusal> {
@@ -99,15 +99,15 @@
             .map_err(|e| malformed(format!("limit: found {limit}: {e}")))?,
         None => DEFAULT_LIMIT,
     };
-    if limit > MOST_HITS {
+    if limit > MAX_LIMIT {
         return Err(malformed(format!(
-            "limit: found {limit}, at most {MOST_HITS} is right"
+            "limit: found {limit}, expected at most {MAX_LIMIT}"
         )));
     }
-    let least_coverage: f64 = optional(headers, LEAST_COVERAGE)?.unwrap_or(0.0);
+    let least_coverage: f64 = optional_header(headers, LEAST_COVERAGE)?.unwrap_or(0.0);
     if !(0.0..=1.0).contains(&least_coverage) {
         return Err(malformed(format!(
-            "{LEAST_COVERAGE}: found {least_coverage}, from 0 to 1 is right"
+            "{LEAST_COVERAGE}: found {least_coverage}, expected a number from 0 to 1"
         )));
     }
     Ok(SearchRequest {
@@ -134,13 +134,13 @@
         service: service.into(),
         caller: caller(headers)?,
         allowance: allowance(headers)?,
-        key: required(headers, KEY)?,
+        key: required_header(headers, IDEMPOTENCY_KEY)?,
         body: request.body().as_ref().into(),
     })
 }
 
 fn caller(headers: &HeaderMap) -> Result<id::Caller, Refusal> {
-    let name: String = required(headers, CALLER)?;
+    let name: String = required_header(headers, CALLER)?;
     if name.is_empty() {
         return Err(malformed(format!("{CALLER}: missing")));
     }
@@ -149,22 +149,22 @@
 
 fn allowance(headers: &HeaderMap) -> Result<Duration, Refusal> {
     let missing = || {
-        let detail = format!("{ALLOWANCE}: missing, a number of milliseconds is right");
+        let detail = format!("{ALLOWANCE}: missing, expected a number of milliseconds");
         Refusal::new(Cause::Allowance, detail)
     };
-    optional(headers, ALLOWANCE)?
+    optional_header(headers, ALLOWANCE)?
         .map(Duration::from_millis)
         .ok_or_else(missing)
 }
 
-fn required<T>(headers: &HeaderMap, name: &str) -> Result<T, Refusal>
+fn required_header<T>(headers: &HeaderMap, name: &str) -> Result<T, Refusal>
 where
     T: FromStr,
 {
-    optional(headers, name)?.ok_or_else(|| malformed(format!("{name}: missing")))
+    optional_header(headers, name)?.ok_or_else(|| malformed(format!("{name}: missing")))
 }
 
-fn optional<T>(headers: &HeaderMap, name: &str) -> Result<Option<T>, Refusal>
+fn optional_header<T>(headers: &HeaderMap, name: &str) -> Result<Option<T>, Refusal>
 where
     T: FromStr,
 {
@@ -172,10 +172,10 @@
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    // Which of two values counts would be a guess, and callers would be mixed up.
-    let more = values.count();
-    if more > 0 {
-        return Err(malformed(format!("{name}: found {} values", more + 1)));
+    // Choosing one of several values would be a guess, and could mistake one caller for another.
+    let extra = values.count();
+    if extra > 0 {
+        return Err(malformed(format!("{name}: found {} values", extra + 1)));
     }
     let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
     match parsed {
--- a/crates/lentillift-caller/src/render.rs
+++ b/crates/lentillift-caller/src/render.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as callers get them.
+//! Rendering of answers and refusals as HTTP responses.
 
 use bytes::Bytes;
 use http::HeaderValue;
@@ -18,22 +18,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Header with the share of the data that an answer covers.
+/// Header with the share of the data that an answer covers, from 0 to 1.
 pub const COVERAGE: &str = "x-coverage";
 
-/// Header that says whether all shards are in an answer.
+/// Header that says whether an answer covers all shards: `true` or `false`.
 pub const COMPLETE: &str = "x-complete";
 
 /// Header with the number of missing shards for each reason, such as `deadline=2,cold=1`.
 pub const MISSING: &str = "x-missing";
 
-/// Header that says whether a request ran.
+/// Header that says whether a request ran: `done`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "x-outcome";
 
 #[derive(Serialize)]
 struct Body<'a> {
     snapshot: id::Snapshot,
-    /// Whether no shard is missing: what tells "no such notice" from "not all was searched".
+    /// Whether no shard is missing. Distinguishes "no such notice" from "not all was searched".
     complete: bool,
     share: f64,
     coverage: &'a Coverage,
@@ -49,7 +49,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// An answer to a query.
+/// Renders the answer to a query.
 pub fn answer(answer: &Answer) -> Response<Bytes> {
     let coverage = &answer.coverage;
     let hits = answer.hits.iter();
@@ -64,16 +64,16 @@
     };
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut response = json(StatusCode::OK, body);
-    insert(&mut response, COVERAGE, &coverage.to_string());
-    insert(&mut response, COMPLETE, &coverage.is_full().to_string());
-    insert(&mut response, MISSING, &missing(coverage));
-    insert(&mut response, "x-snapshot", &answer.snapshot.to_string());
-    insert(&mut response, OUTCOME, "done");
+    insert_header(&mut response, COVERAGE, &coverage.to_string());
+    insert_header(&mut response, COMPLETE, &coverage.is_full().to_string());
+    insert_header(&mut response, MISSING, &missing_by_reason(coverage));
+    insert_header(&mut response, "x-snapshot", &answer.snapshot.to_string());
+    insert_header(&mut response, OUTCOME, "done");
     response
 }
 
-/// How many shards are missing for each reason; empty when none is.
-fn missing(coverage: &Coverage) -> String {
+/// Formats the number of missing shards for each reason; empty if none is missing.
+fn missing_by_reason(coverage: &Coverage) -> String {
     let mut reasons = BTreeMap::<_, u32>::new();
     for missing in &coverage.missing {
         *reasons.entry(missing.reason).or_default() += 1;
@@ -83,7 +83,7 @@
     reasons.collect::<Vec<_>>().join(",")
 }
 
-/// A refusal.
+/// Renders a refusal, with the status that its cause maps to.
 pub fn refusal(refusal: &Refusal) -> Response<Bytes> {
     let outcome = refusal.outcome;
     let problem = Problem {
@@ -94,7 +94,7 @@
     };
     let body = serde_json::to_vec(&problem).unwrap_or_default();
     let mut response = json(status(refusal.cause), body);
-    insert(&mut response, OUTCOME, name(outcome));
+    insert_header(&mut response, OUTCOME, outcome_name(outcome));
     insert_retry_after(&mut response, refusal.retry_after);
     response
 }
@@ -102,27 +102,27 @@
 fn insert_retry_after(response: &mut Response<Bytes>, after: Option<Duration>) {
     if let Some(after) = after {
         let seconds = after.as_secs_f64().ceil().max(1.0);
-        insert(response, RETRY_AFTER.as_str(), &seconds.to_string());
+        insert_header(response, RETRY_AFTER.as_str(), &seconds.to_string());
     }
 }
 
-/// An id for a request that may run at most once.
+/// Renders a newly issued id, under which an action runs at most once.
 pub fn issued(key: &str) -> Response<Bytes> {
     let body = serde_json::json!({ "id": key }).to_string();
     json(StatusCode::OK, body.into_bytes())
 }
 
-/// The outcome of a request that may run at most once.
-pub fn settled(settled: ActionResponse) -> Response<Bytes> {
-    let status = match (settled.outcome, settled.cause) {
+/// Renders the outcome of an action.
+pub fn action(action: ActionResponse) -> Response<Bytes> {
+    let status = match (action.outcome, action.cause) {
         (Outcome::Done, _) => StatusCode::OK,
         (Outcome::NotRun, Some(cause)) => status(cause),
         (Outcome::NotRun, None) => StatusCode::SERVICE_UNAVAILABLE,
         (Outcome::Unknown, _) => StatusCode::GATEWAY_TIMEOUT,
     };
-    let mut response = json(status, settled.body);
-    insert(&mut response, OUTCOME, name(settled.outcome));
-    insert_retry_after(&mut response, settled.retry_after);
+    let mut response = json(status, action.body);
+    insert_header(&mut response, OUTCOME, outcome_name(action.outcome));
+    insert_retry_after(&mut response, action.retry_after);
     response
 }
 
@@ -142,7 +142,7 @@
     }
 }
 
-fn name(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Done => "done",
         Outcome::NotRun => "not-run",
@@ -150,7 +150,7 @@
     }
 }
 
-fn insert(response: &mut Response<Bytes>, name: &str, value: &str) {
+fn insert_header(response: &mut Response<Bytes>, name: &str, value: &str) {
     let name = http::HeaderName::try_from(name);
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
         response.headers_mut().insert(name, value);
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -1,9 +1,9 @@
-//! The listener for callers.
+//! The HTTP listener for callers.
 
 use crate::call::Call;
 use crate::parse;
-use crate::parse::Fault;
 use crate::parse::Route;
+use crate::parse::RouteError;
 use crate::render;
 use bytes::Bytes;
 use http::Request;
@@ -26,36 +26,37 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-/// What the listener needs to pass calls on.
+/// Numbers requests, passes them to the tasks that execute them, and waits for the responses.
 #[derive(Debug, Clone)]
-struct Desk {
+struct Dispatcher {
     calls: mpsc::Sender<Call>,
-    next: Arc<AtomicU64>,
+    next_request: Arc<AtomicU64>,
 }
 
-/// Tells the entry when the connection of a query's caller ends before its answer.
-struct Guard {
+/// Sends [`Call::Gone`] when dropped before the answer, which happens when the caller disconnects.
+struct DisconnectGuard {
     request: id::Request,
     calls: mpsc::Sender<Call>,
     answered: bool,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.answered {
             let gone = Call::Gone {
                 request: self.request,
             };
-            // When the queue is full the query ends at its deadline instead.
+            // If the queue is full, the query ends at its deadline instead.
             let _ = self.calls.try_send(gone);
         }
     }
 }
 
-/// Serves callers until `stop` turns true, then finishes the calls under way.
+/// Serves callers until `stop` becomes true, then finishes the requests in flight.
 ///
-/// Calls are numbered from `first`. It must differ widely between starts of a process, or a late
-/// answer to a call before the start would go to the caller who has its number now.
+/// Requests are numbered from `first`. It must differ widely between restarts of a process:
+/// otherwise a late answer to a request from before the restart would reach the caller whose
+/// request now has that number.
 pub async fn serve(
     listener: TcpListener,
     options: Options,
@@ -63,38 +64,40 @@
     calls: mpsc::Sender<Call>,
     first: id::Request,
 ) {
-    let desk = Desk {
+    let dispatcher = Dispatcher {
         calls,
-        next: Arc::new(AtomicU64::new(first)),
+        next_request: Arc::new(AtomicU64::new(first)),
     };
     let handler = move |request| {
-        let desk = desk.clone();
-        async move { desk.handle(request).await }
+        let dispatcher = dispatcher.clone();
+        async move { dispatcher.handle(request).await }
     };
     listener::serve(listener, options, stop, handler).await;
 }
 
-impl Desk {
+impl Dispatcher {
     async fn handle(&self, request: Request<Bytes>) -> Response<Bytes> {
         match parse::route(&request) {
             Ok(Route::Query(ask)) => self.query(ask).await,
             Ok(Route::Issue { service, caller }) => self.issue(service, caller).await,
             Ok(Route::Action(submit)) => self.action(submit).await,
-            Err(Fault::NoRoute) => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
-            Err(Fault::Method) => plain(StatusCode::METHOD_NOT_ALLOWED, "POST is right".to_owned()),
-            Err(Fault::Refused(refusal)) => render::refusal(&refusal),
+            Err(RouteError::NoRoute) => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
+            Err(RouteError::Method) => {
+                plain(StatusCode::METHOD_NOT_ALLOWED, "expected POST".to_owned())
+            }
+            Err(RouteError::Refused(refusal)) => render::refusal(&refusal),
         }
     }
 
     async fn query(&self, ask: SearchRequest) -> Response<Bytes> {
-        let request = self.next.fetch_add(1, Ordering::Relaxed);
+        let request = self.next_request.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let call = Call::Query {
             request,
             ask,
             reply,
         };
-        let mut guard = Guard {
+        let mut guard = DisconnectGuard {
             request,
             calls: self.calls.clone(),
             answered: false,
@@ -125,21 +128,24 @@
     }
 
     async fn action(&self, submit: ActionRequest) -> Response<Bytes> {
-        let request = self.next.fetch_add(1, Ordering::Relaxed);
-        let (reply, settled) = oneshot::channel();
+        let request = self.next_request.fetch_add(1, Ordering::Relaxed);
+        let (reply, response) = oneshot::channel();
         let call = Call::Action {
             request,
             submit,
             reply,
         };
         let _ = self.calls.send(call).await;
-        // Also when nobody took the call: the id may have come by another entry before.
-        let ending =
-            |_| ActionResponse::unknown("the process is ending; ask another with the same id");
-        render::settled(settled.await.unwrap_or_else(ending))
+        // Unknown even if the call was never received: the action may have been sent through another
+        // host before, under the same id.
+        let ending = |_| {
+            ActionResponse::unknown("the process is ending; retry at another host with the same id")
+        };
+        render::action(response.await.unwrap_or_else(ending))
     }
 }
 
+/// The refusal of a call whose task ended without a response.
 fn leaving() -> Refusal {
     Refusal::new(Cause::Leaving, "the process is ending")
 }
--- a/crates/lentillift-caller/tests/contract.rs
+++ b/crates/lentillift-caller/tests/contract.rs
@@ -1,4 +1,5 @@
-//! The callers' interface over real sockets: what is understood, what is refused, and how.
+//! The HTTP interface to callers over real sockets: which requests are accepted, and the status,
+//! headers and body of the responses.
 
 use lentillift_caller::call::Call;
 
@@ -23,7 +24,7 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-/// A reply as its caller reads it.
+/// A response, split into status, lowercased head and body.
 struct Reply {
     status: u16,
     head: String,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A listener whose calls the test answers in place of the entry.
+/// A listener whose calls the test answers itself.
 struct Fixture {
     address: SocketAddr,
     calls: mpsc::Receiver<Call>,
@@ -82,10 +83,10 @@
 
 const QUERY: &str = "/v1/services/notices/query";
 const ACTION: &str = "/v1/services/notices/action";
-const GOOD: &str = "x-caller: mobile\r\nx-allowance-ms: 100\r\n";
+const VALID_HEADERS: &str = "x-caller: mobile\r\nx-allowance-ms: 100\r\n";
 
-/// Names a case: a request that must be refused before anything runs, the status, and a part of the
-/// text that tells the caller what is wrong.
+/// Defines cases: a request that must be refused before it is passed on, the status, and a part of
+/// the body that states what is wrong.
 macro_rules! refused {
     ($($name:ident: $method:expr, $path:expr, $headers:expr, $body:expr => $status:expr, $text:expr;)+) => {
         $(
@@ -103,13 +104,13 @@
 }
 
 refused! {
-    an_unknown_route: "POST", "/v1/nothing", GOOD, "{}" => 404, "no such route";
-    an_unknown_verb: "POST", "/v1/services/notices/dance", GOOD, "{}" => 404, "no such route";
-    a_query_by_get: "GET", QUERY, GOOD, "" => 405, "POST";
-    a_body_that_is_not_json: "POST", QUERY, GOOD, "{\"q\":" => 400, "EOF";
-    a_body_that_is_a_list: "POST", QUERY, GOOD, "[1]" => 400, "malformed";
-    a_limit_that_is_negative: "POST", QUERY, GOOD, "{\"limit\":-1}" => 400, "-1";
-    a_limit_that_is_absurd: "POST", QUERY, GOOD, "{\"limit\":100000}" => 400, "at most 1000";
+    an_unknown_route: "POST", "/v1/nothing", VALID_HEADERS, "{}" => 404, "no such route";
+    an_unknown_verb: "POST", "/v1/services/notices/dance", VALID_HEADERS, "{}" => 404, "no such route";
+    a_query_by_get: "GET", QUERY, VALID_HEADERS, "" => 405, "POST";
+    a_body_that_is_not_json: "POST", QUERY, VALID_HEADERS, "{\"q\":" => 400, "EOF";
+    a_body_that_is_a_list: "POST", QUERY, VALID_HEADERS, "[1]" => 400, "malformed";
+    a_limit_that_is_negative: "POST", QUERY, VALID_HEADERS, "{\"limit\":-1}" => 400, "-1";
+    a_limit_above_the_maximum: "POST", QUERY, VALID_HEADERS, "{\"limit\":100000}" => 400, "at most 1000";
     no_caller: "POST", QUERY, "x-allowance-ms: 100\r\n", "{}" => 400, "x-caller: missing";
     an_empty_caller: "POST", QUERY, "x-caller: \r\nx-allowance-ms: 100\r\n", "{}" => 400, "x-caller: missing";
     no_allowance: "POST", QUERY, "x-caller: mobile\r\n", "{}" => 400, "x-allowance-ms: missing";
@@ -118,16 +119,16 @@
     a_least_coverage_above_one: "POST", QUERY, "x-caller: mobile\r\nx-allowance-ms: 100\r\nx-least-coverage: 1.5\r\n", "{}" => 400, "from 0 to 1";
     a_least_coverage_that_is_no_number: "POST", QUERY, "x-caller: mobile\r\nx-allowance-ms: 100\r\nx-least-coverage: NaN\r\n", "{}" => 400, "x-least-coverage";
     two_values_of_one_header: "POST", QUERY, "x-caller: mobile\r\nx-caller: press\r\nx-allowance-ms: 100\r\n", "{}" => 400, "x-caller: found 2 values";
-    an_action_without_id: "POST", ACTION, GOOD, "{}" => 400, "idempotency-key: missing";
+    an_action_without_id: "POST", ACTION, VALID_HEADERS, "{}" => 400, "idempotency-key: missing";
     an_action_that_is_not_json: "POST", ACTION, "x-caller: mobile\r\nx-allowance-ms: 100\r\nidempotency-key: a.1.1\r\n", "notice" => 400, "malformed";
     an_id_without_caller: "POST", "/v1/services/notices/ids", "", "" => 400, "x-caller: missing";
 }
 
-/// A refusal says that nothing ran, and when to come back.
+/// A refusal states that nothing ran and when to retry. `retry-after` is rounded up to seconds.
 #[tokio::test]
-async fn a_refusal_tells_when_to_come_back() {
+async fn a_refusal_states_when_to_retry() {
     let mut fixture = Fixture::start().await;
-    let stream = fixture.open("POST", QUERY, GOOD, "{}").await;
+    let stream = fixture.open("POST", QUERY, VALID_HEADERS, "{}").await;
     let Some(Call::Query { reply, .. }) = fixture.calls.recv().await else {
         panic!("not a query");
     };
@@ -141,23 +142,23 @@
 }
 
 fn answer(missing: Vec<Missing>) -> Answer {
-    let lost: u64 = missing.iter().map(|missing| missing.weight).sum();
+    let missing_weight: u64 = missing.iter().map(|missing| missing.weight).sum();
     Answer {
         snapshot: 7,
         coverage: Coverage {
             shards: 2,
             answered: 2 - missing.len() as u32,
             weight: 40,
-            covered: 40 - lost,
+            covered: 40 - missing_weight,
             missing,
         },
         hits: Vec::new(),
     }
 }
 
-async fn ask(answer: Answer) -> Reply {
+async fn reply_to_query(answer: Answer) -> Reply {
     let mut fixture = Fixture::start().await;
-    let stream = fixture.open("POST", QUERY, GOOD, "{}").await;
+    let stream = fixture.open("POST", QUERY, VALID_HEADERS, "{}").await;
     let Some(Call::Query { reply, .. }) = fixture.calls.recv().await else {
         panic!("not a query");
     };
@@ -165,32 +166,35 @@
     read(stream).await
 }
 
-/// Nothing was found, once with all shards and once without one of two. Whoever reads the second
-/// as "no such notice" never learns of a death, so that the two must not look alike.
+/// An empty answer with a missing shard must be distinguishable from one that covers all shards: a
+/// reader who took it for "no such notice" would never learn of a death.
 #[tokio::test]
-async fn an_empty_answer_with_holes_shows_them() {
-    let whole = ask(answer(Vec::new())).await;
+async fn an_empty_answer_reports_missing_shards() {
+    let complete = reply_to_query(answer(Vec::new())).await;
     let missing = Missing {
         shard: 1,
         weight: 10,
         reason: Reason::Deadline,
     };
-    let holed = ask(answer(vec![missing])).await;
+    let partial = reply_to_query(answer(vec![missing])).await;
     assert!(
-        whole.head.contains("x-coverage: 1.000000"),
+        complete.head.contains("x-coverage: 1.000000"),
         "{}",
-        whole.head
+        complete.head
     );
     assert!(
-        holed.head.contains("x-coverage: 0.750000"),
+        partial.head.contains("x-coverage: 0.750000"),
         "{}",
-        holed.head
+        partial.head
     );
-    assert_eq!(holed.json()["coverage"]["missing"][0]["reason"], "deadline");
-    assert_eq!(holed.json()["coverage"]["answered"], 1);
+    assert_eq!(
+        partial.json()["coverage"]["missing"][0]["reason"],
+        "deadline"
+    );
+    assert_eq!(partial.json()["coverage"]["answered"], 1);
 }
 
-/// A hit's payload is the backend server's own and comes through byte for byte.
+/// The payload of a hit is opaque and is passed on byte for byte.
 #[tokio::test]
 async fn a_payload_passes_unchanged() {
     let json = r#"{"id":"a","score":1.50,"name":"ആമിന","big":12345678901234567890123}"#;
@@ -199,7 +203,7 @@
         score: 1.5,
         json: json.to_owned(),
     };
-    let reply = ask(Answer {
+    let reply = reply_to_query(Answer {
         hits: vec![hit],
         ..answer(Vec::new())
     })
@@ -207,24 +211,24 @@
     assert!(reply.body.contains(json), "{}", reply.body);
 }
 
-/// The connection of a waiting caller breaks. The entry hears of it and can stop the work.
+/// A caller disconnects before its answer. `Call::Gone` is sent, so that the work can be cancelled.
 #[tokio::test]
-async fn a_caller_that_goes_away_is_noticed() {
+async fn a_disconnect_before_the_answer_is_reported() {
     let mut fixture = Fixture::start().await;
-    let stream = fixture.open("POST", QUERY, GOOD, "{}").await;
+    let stream = fixture.open("POST", QUERY, VALID_HEADERS, "{}").await;
     let Some(Call::Query { request, reply, .. }) = fixture.calls.recv().await else {
         panic!("not a query");
     };
     drop(stream);
     let Some(Call::Gone { request: gone }) = fixture.calls.recv().await else {
-        panic!("not told");
+        panic!("the disconnect was not reported");
     };
     assert_eq!(gone, request);
     drop(reply);
 }
 
-/// The process ends while a request that may run at most once is under way. Nobody can say whether
-/// it ran, and the caller is told just that.
+/// The process ends while an action is in flight. Whether it ran is not known, so its outcome must
+/// be `unknown`.
 #[tokio::test]
 async fn an_action_whose_task_ends_is_unknown() {
     let mut fixture = Fixture::start().await;
@@ -237,10 +241,10 @@
     assert!(reply.head.contains("x-outcome: unknown"), "{}", reply.head);
 }
 
-/// The outcome of an action is in the status and in a header, so that a caller need not parse the
+/// The outcome of an action shows in the status and in a header, so that a caller need not parse the
 /// backend server's reply to know whether it ran.
 #[tokio::test]
-async fn outcomes_look_different() {
+async fn each_outcome_has_its_own_status() {
     for (outcome, status) in [
         (Outcome::Done, 200),
         (Outcome::NotRun, 503),
--- a/crates/lentillift-caller/tests/fuzz.rs
+++ b/crates/lentillift-caller/tests/fuzz.rs
@@ -1,10 +1,11 @@
-//! Whatever a caller sends, it gets a clear answer and nothing breaks.
+//! Property tests of the parser: any request is either parsed within its bounds or rejected with a
+//! cause and a detail, without a panic.
 
 use bytes::Bytes;
 use http::Request;
 use lentillift_caller::parse;
-use lentillift_caller::parse::Fault;
 use lentillift_caller::parse::Route;
+use lentillift_caller::parse::RouteError;
 use lentillift_core::refusal::Cause;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -49,7 +50,7 @@
         parse::CALLER,
         parse::ALLOWANCE,
         parse::LEAST_COVERAGE,
-        parse::KEY,
+        parse::IDEMPOTENCY_KEY,
     ];
     let headers = prop::collection::vec((prop::sample::select(names), value()), 0..6);
     let method = prop::sample::select(vec!["POST", "GET"]);
@@ -71,14 +72,14 @@
     })]
 
     #[test]
-    fn any_request_is_taken_or_refused_clearly(request in request()) {
+    fn any_request_is_parsed_or_rejected_with_a_reason(request in request()) {
         match parse::route(&request) {
             Ok(Route::Query(ask)) => {
                 prop_assert!((0.0..=1.0).contains(&ask.least_coverage));
                 prop_assert!(ask.limit <= 1000);
             }
-            Ok(_) | Err(Fault::NoRoute | Fault::Method) => {}
-            Err(Fault::Refused(refusal)) => {
+            Ok(_) | Err(RouteError::NoRoute | RouteError::Method) => {}
+            Err(RouteError::Refused(refusal)) => {
                 prop_assert!(matches!(refusal.cause, Cause::Malformed | Cause::Allowance));
                 prop_assert!(!refusal.detail.is_empty());
             }
@@ -86,10 +87,10 @@
     }
 }
 
-/// A caller's clock or arithmetic is wrong and it states half a million years. Added to the present
-/// time that must not overflow.
+/// A caller with a faulty clock or arithmetic sends an allowance of half a million years. Adding it to
+/// the current time must not overflow; the configured bounds reject it later.
 #[test]
-fn an_absurd_allowance_parses_and_is_left_to_the_configuration() {
+fn a_huge_allowance_parses_without_overflow() {
     let request = Request::post("/v1/services/names/query")
         .header(parse::CALLER, "newsroom")
         .header(parse::ALLOWANCE, u64::MAX.to_string())
