--- a/crates/lentillift-backend/src/client.rs
+++ b/crates/lentillift-backend/src/client.rs
@@ -1,9 +1,9 @@
-//! Sending requests to one backend server.
+//! Client that sends sub-requests to one backend server.
 
 use crate::connect;
-use crate::connect::Watching;
+use crate::connect::WriteTrackingConnector;
 use crate::reply;
-use crate::resolve::Fixed;
+use crate::resolve::FixedResolver;
 use lentillift_core::sub;
 use lentillift_core::sub::Failure;
 use lentillift_core::sub::Report;
@@ -18,26 +18,26 @@
 use ureq::Timeout;
 use ureq::http::Response;
 
-/// Time after which a cancellation that was not taken is given up.
+/// Timeout of a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time to find out whether anybody listens at an address; the result waits for it.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(50);
+/// Timeout of the check whether a process listens at an address. It delays the result of a request.
+const LISTEN_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Bytes that a connection's buffer holds, each way.
+/// Size of a connection's input buffer, and of its output buffer.
 ///
-/// A request has under a kilobyte and most replies a few. The library's default of 128 KB each way
-/// makes 25 MB of the connections of a hundred backend servers.
-const BUFFER: usize = 16 * 1024;
+/// A request has less than a kilobyte and most replies have a few. With the library's default of
+/// 128 KB for each buffer, the connections to a hundred backend servers take 25 MB.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Figures of a client.
+/// Limits and timeouts of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Connections that are kept open.
+    /// Maximum number of idle connections that are kept open.
     pub connections: usize,
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long an unused connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
@@ -56,16 +56,17 @@
 pub struct Client {
     agent: Agent,
     address: SocketAddr,
-    /// Stands before each ticket.
+    /// Prefix of each request id.
     ///
-    /// Tickets are numbers of one process. Without this the cancellation of one process's request
-    /// would end another process's request with the same number, and a shard would be missing.
+    /// Tickets are unique only within a process. Without the prefix, a cancellation by one process
+    /// would end the request of another process with the same ticket, whose answer would then miss
+    /// a shard.
     sender: Arc<str>,
 }
 
 impl Client {
-    /// Makes a client; nothing is sent yet. `sender` differs between all processes that may send
-    /// to the same backend server, and between starts of each.
+    /// Creates a client without opening a connection. `sender` must differ between all processes
+    /// that may send to the same backend server, and between restarts of each.
     pub fn new(address: SocketAddr, sender: &str, options: &Options) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -74,19 +75,26 @@
             .max_idle_connections(options.connections)
             .max_idle_connections_per_host(options.connections)
             .max_idle_age(options.idle)
-            .input_buffer_size(BUFFER)
-            .output_buffer_size(BUFFER)
+            .input_buffer_size(BUFFER_BYTES)
+            .output_buffer_size(BUFFER_BYTES)
             .timeout_connect(Some(options.connect_timeout))
             .build();
         Self {
-            agent: Agent::with_parts(config, Watching::default(), Fixed(address)),
+            agent: Agent::with_parts(
+                config,
+                WriteTrackingConnector::default(),
+                FixedResolver(address),
+            ),
             address,
-            sender: sender.chars().map(safe).collect::<String>().into(),
+            sender: sender.chars().map(sanitize).collect::<String>().into(),
         }
     }
 
-    /// Sends a request and waits for its result, at most for `left`.
-    pub fn send(&self, ticket: u64, sub: &Sub, left: Duration) -> (sub::Result, Report) {
+    /// Sends a sub-request and waits for its result, for at most `remaining`.
+    ///
+    /// `ticket` identifies the request in [`Client::cancel`]. The report is what the backend server
+    /// stated about its own state in the headers of the reply.
+    pub fn send(&self, ticket: u64, sub: &Sub, remaining: Duration) -> (sub::Result, Report) {
         let path = match sub.work {
             Work::Search { .. } => "search",
             Work::Action { .. } => "action",
@@ -96,38 +104,38 @@
             .post(format!("http://{}/v1/{path}", self.address))
             .header("content-type", "application/json")
             .header("x-request-id", format!("{}-{ticket}", self.sender))
-            .header("x-deadline-ms", left.as_millis().to_string());
+            .header("x-deadline-ms", remaining.as_millis().to_string());
         request = match &sub.work {
             Work::Search { snapshot, shard } => request
                 .header("x-snapshot", snapshot.to_string())
                 .header("x-shard", shard.to_string()),
             Work::Action { key } => request.header("idempotency-key", &**key),
         };
-        let request = request.config().timeout_global(Some(left)).build();
-        let (sent, written) = connect::watch(|| request.send(&*sub.body));
+        let request = request.config().timeout_global(Some(remaining)).build();
+        let (sent, written) = connect::track_writes(|| request.send(&*sub.body));
         let (result, report) = match sent {
             Ok(mut response) => {
                 let report = report(&response);
                 (result(&mut response, &sub.work, &report), report)
             }
-            Err(error) => (failed(&error, written), Report::default()),
+            Err(error) => (failed_result(&error, written), Report::default()),
         };
-        // An action is not sent again, whatever became of its server.
+        // The check is limited to searches: an action is not sent again, even if its server ended.
         let is_search = matches!(sub.work, Work::Search { .. });
-        let is_lost = result == sub::Result::unknown(Failure::Connection);
-        match is_search && is_lost && self.is_refused() {
+        let is_connection_lost = result == sub::Result::unknown(Failure::Connection);
+        match is_search && is_connection_lost && self.refuses_connections() {
             true => (sub::Result::unknown(Failure::Ended), report),
             false => (result, report),
         }
     }
 
-    /// Whether nobody listens at the address, as after the backend server's process ended.
-    fn is_refused(&self) -> bool {
-        let opened = TcpStream::connect_timeout(&self.address, LOOK_TIMEOUT);
+    /// Whether the address refuses connections, as it does after the backend server's process ended.
+    fn refuses_connections(&self) -> bool {
+        let opened = TcpStream::connect_timeout(&self.address, LISTEN_CHECK_TIMEOUT);
         opened.is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused)
     }
 
-    /// Tells the backend server that a request's reply is of no more use.
+    /// Asks the backend server to stop a request whose reply is no longer needed.
     pub fn cancel(&self, ticket: u64) {
         let request = self
             .agent
@@ -138,19 +146,22 @@
             .config()
             .timeout_global(Some(CANCEL_TIMEOUT))
             .build();
-        // Best effort: at worst the backend server does work that nobody uses.
+        // Best effort: if it fails, the backend server finishes work whose result is not used.
         let _ = request.call();
     }
 }
 
-/// A character that may stand in a path and in a header.
-fn safe(character: char) -> char {
+/// Replaces a character that is not safe in both a URL path and a header by `_`.
+fn sanitize(character: char) -> char {
     match character {
         'a'..='z' | 'A'..='Z' | '0'..='9' | '-' | '.' | '_' => character,
         _ => '_',
     }
 }
 
+/// Reads the backend server's report on its own state from the headers of a reply.
+///
+/// A load that is negative or not finite is ignored.
 fn report(response: &Response<ureq::Body>) -> Report {
     let header = |name| response.headers().get(name)?.to_str().ok();
     let state = header("x-state");
@@ -163,6 +174,7 @@
     }
 }
 
+/// Converts a reply into the result of a sub-request.
 fn result(response: &mut Response<ureq::Body>, work: &Work, report: &Report) -> sub::Result {
     match (response.status().as_u16(), work) {
         (200, _) => {}
@@ -189,7 +201,7 @@
     }
 }
 
-/// Whether the backend server itself says that it did not run the request.
+/// Whether the backend server states that it did not run the request.
 fn is_not_run(response: &Response<ureq::Body>) -> bool {
     response
         .headers()
@@ -197,8 +209,8 @@
         .is_some_and(|outcome| outcome == "not-run")
 }
 
-/// What an error of the client library means; `written` is whether any byte may have left.
-fn failed(error: &ureq::Error, written: bool) -> sub::Result {
+/// Converts an error of the client library; `written` is whether any byte may have been sent.
+fn failed_result(error: &ureq::Error, written: bool) -> sub::Result {
     let failure = match error {
         ureq::Error::Timeout(Timeout::Connect) => Failure::Connection,
         ureq::Error::Timeout(_) => Failure::Timeout,
--- a/crates/lentillift-backend/src/connect.rs
+++ b/crates/lentillift-backend/src/connect.rs
@@ -1,10 +1,10 @@
-//! Connections that know whether anything was written to them.
+//! Connections that record whether anything was written to them.
 //!
-//! An error of the client library does not say whether it arose before or after the first byte left:
-//! a timeout of the whole call may strike while the connection is being opened, and an I/O error
-//! may come from opening it or from reading the reply. Guessed wrong in one direction, a request
-//! that ran is reported as "not run" and its caller files it again; in the other, a dead backend
-//! server makes all requests "unknown". Here the write itself is noted, so that neither is guessed.
+//! An error of the client library does not state whether it occurred before or after the first byte
+//! was sent: the timeout of the whole call may expire while the connection is being opened, and an
+//! I/O error may come from opening it or from reading the reply. A wrong guess in one direction
+//! reports a request that ran as "not run", and its caller files it again; in the other direction,
+//! a dead backend server makes all requests "unknown". Recording the write itself avoids the guess.
 
 use std::cell::Cell;
 use ureq::Error;
@@ -16,26 +16,26 @@
 use ureq::unversioned::transport::Transport;
 
 thread_local! {
-    /// Whether this thread's present call has begun to write.
-    // INVARIANT: A call of the client library runs on the thread that made it, from start to end.
+    /// Whether the current call on this thread has begun to write.
+    // INVARIANT: A call of the client library runs from start to end on the thread that made it.
     static WRITTEN: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Runs a call of the client library and says whether it began to write to a connection.
-pub(crate) fn watch<T>(call: impl FnOnce() -> T) -> (T, bool) {
+/// Runs a call of the client library; also returns whether it began to write to a connection.
+pub(crate) fn track_writes<T>(call: impl FnOnce() -> T) -> (T, bool) {
     WRITTEN.set(false);
     let result = call();
     (result, WRITTEN.get())
 }
 
-/// Opens connections over TCP that note each write.
+/// Opens TCP connections that record writes in [`WRITTEN`].
 #[derive(Debug, Default)]
-pub(crate) struct Watching {
+pub(crate) struct WriteTrackingConnector {
     tcp: TcpConnector,
 }
 
-impl Connector for Watching {
-    type Out = Watched<<TcpConnector as Connector>::Out>;
+impl Connector for WriteTrackingConnector {
+    type Out = WriteTrackingTransport<<TcpConnector as Connector>::Out>;
 
     fn connect(
         &self,
@@ -43,15 +43,15 @@
         chained: Option<()>,
     ) -> Result<Option<Self::Out>, Error> {
         let transport = self.tcp.connect(details, chained)?;
-        Ok(transport.map(Watched))
+        Ok(transport.map(WriteTrackingTransport))
     }
 }
 
-/// A connection that notes each write.
+/// A connection that records writes in [`WRITTEN`].
 #[derive(Debug)]
-pub(crate) struct Watched<T>(T);
+pub(crate) struct WriteTrackingTransport<T>(T);
 
-impl<T> Transport for Watched<T>
+impl<T> Transport for WriteTrackingTransport<T>
 where
     T: Transport,
 {
@@ -60,7 +60,7 @@
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        // Noted before the write, since a write that fails may have sent a part.
+        // Recorded before the write, since a write that fails may have sent some bytes.
         WRITTEN.set(true);
         self.0.transmit_output(amount, timeout)
     }
--- a/crates/lentillift-backend/src/lib.rs
+++ b/crates/lentillift-backend/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface to backend servers.
+//! The HTTP interface to backend servers: sends sub-requests and parses their replies.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-backend/src/reply.rs
+++ b/crates/lentillift-backend/src/reply.rs
@@ -1,4 +1,4 @@
-//! Making sense of a backend server's reply.
+//! Parsing of replies of backend servers.
 
 use lentillift_core::hit;
 use lentillift_core::hit::Hit;
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Largest reply that is read, in bytes.
+/// Maximum size of a reply's body, in bytes; a larger reply is malformed.
 pub const BODY_LIMIT: u64 = 1024 * 1024;
 
-/// A search reply as it stands on the wire.
+/// The body of a search reply.
 #[derive(Debug, Deserialize)]
 struct Body<'a> {
     snapshot: id::Snapshot,
@@ -18,35 +18,35 @@
     hits: Vec<&'a RawValue>,
 }
 
-/// The part of a hit that is not opaque.
+/// The fields of a hit that are read; the others are opaque.
 #[derive(Debug, Deserialize)]
-struct Head {
+struct HitHead {
     id: String,
     score: f64,
 }
 
-/// Parses the hits of one shard, sorted.
+/// Parses the hits of one shard and sorts them by [`hit::order`].
 ///
 /// # Errors
 ///
-/// Says what is wrong when the body is not JSON of the right shape, or is for another snapshot or
-/// shard than was asked for.
+/// If the body is not JSON of the expected shape, a score is not finite, or the snapshot or shard is
+/// not the requested one. The error describes the mismatch.
 pub fn hits(body: &[u8], snapshot: id::Snapshot, shard: id::Shard) -> Result<Vec<Hit>, String> {
     let body: Body<'_> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if (body.snapshot, body.shard) != (snapshot, shard) {
         return Err(format!(
-            "found snapshot {} shard {}, asked for snapshot {snapshot} shard {shard}",
+            "found snapshot {} shard {}, expected snapshot {snapshot} shard {shard}",
             body.snapshot, body.shard
         ));
     }
-    let hits = body.hits.into_iter().map(one_hit);
+    let hits = body.hits.into_iter().map(parse_hit);
     let mut hits = hits.collect::<Result<Vec<_>, _>>()?;
     hits.sort_by(hit::order);
     Ok(hits)
 }
 
-fn one_hit(json: &RawValue) -> Result<Hit, String> {
-    let head: Head = serde_json::from_str(json.get()).map_err(|e| e.to_string())?;
+fn parse_hit(json: &RawValue) -> Result<Hit, String> {
+    let head: HitHead = serde_json::from_str(json.get()).map_err(|e| e.to_string())?;
     if !head.score.is_finite() {
         return Err(format!("hit `{}`: score is not finite", head.id));
     }
--- a/crates/lentillift-backend/src/resolve.rs
+++ b/crates/lentillift-backend/src/resolve.rs
@@ -1,8 +1,8 @@
-//! Resolution of a backend server's name, which is a number already.
+//! Resolver that returns a fixed address, since backend servers are configured by IP address.
 //!
-//! The library's own resolver starts a thread for each request that has a timeout, in case the
-//! name service hangs. Backend servers are known by IP number, so that there is nothing to look
-//! up; without this module half of a process's time goes into those threads.
+//! The client library's default resolver starts a thread for each request that has a timeout, in
+//! case the name service hangs. Those threads take half of a process's time, although there is no
+//! name to look up.
 
 use std::net::SocketAddr;
 use ureq::Error;
@@ -12,11 +12,11 @@
 use ureq::unversioned::resolver::Resolver;
 use ureq::unversioned::transport::NextTimeout;
 
-/// A resolver that knows one address.
+/// A resolver that returns the same address for every URI.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fixed(pub(crate) SocketAddr);
+pub(crate) struct FixedResolver(pub(crate) SocketAddr);
 
-impl Resolver for Fixed {
+impl Resolver for FixedResolver {
     fn resolve(
         &self,
         _uri: &Uri,
--- a/crates/lentillift-backend/tests/contract.rs
+++ b/crates/lentillift-backend/tests/contract.rs
@@ -1,7 +1,7 @@
-//! What the client says of a request against what reached a backend server.
+//! Compares the result that the client reports with the requests that reached a backend server.
 //!
-//! The server speaks raw TCP, so that it can end a connection at any moment, and counts the
-//! requests that it has read as a whole: only those can have run.
+//! The server uses raw TCP, so that it can close a connection at any point, and records the requests
+//! that it has read completely: only those can have run.
 
 use lentillift_backend::client::Client;
 use lentillift_backend::client::Options;
@@ -19,16 +19,16 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// What the server does with one request on a connection, in turn.
+/// What the server does with one request.
 #[derive(Debug, Clone, Copy)]
-enum Act {
+enum ServerAct {
     /// Closes the connection before it reads anything.
     CloseBeforeRead,
-    /// Closes it after a part of the head.
+    /// Closes the connection after a part of the head.
     CloseInHead,
-    /// Closes it after the whole request.
+    /// Closes the connection after the complete request.
     CloseAfterRead,
-    /// Closes it after a part of the reply.
+    /// Closes the connection after a part of the reply.
     CloseInReply,
     /// Never answers.
     Hang,
@@ -36,20 +36,20 @@
     Answer(&'static str, &'static str),
 }
 
-/// What a server has seen.
+/// The connections and requests that a server has received.
 #[derive(Debug, Default)]
-struct Seen {
+struct Received {
     connections: usize,
-    /// Heads of the requests that were read as a whole.
+    /// Heads of the requests that were read completely.
     requests: Vec<String>,
 }
 
-/// A server that acts as listed, over as many connections as it takes.
-fn server(acts: Vec<Act>) -> (SocketAddr, Arc<Mutex<Seen>>) {
+/// Starts a server that applies `acts` to the requests in order, over any number of connections.
+fn server(acts: Vec<ServerAct>) -> (SocketAddr, Arc<Mutex<Received>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let shared = seen.clone();
+    let received = Arc::new(Mutex::new(Received::default()));
+    let shared = received.clone();
     std::thread::spawn(move || {
         let mut acts = acts.into_iter();
         while let Ok((stream, _)) = listener.accept() {
@@ -57,14 +57,18 @@
             serve(stream, &mut acts, &shared);
         }
     });
-    (address, seen)
+    (address, received)
 }
 
-fn serve(mut stream: TcpStream, acts: &mut impl Iterator<Item = Act>, seen: &Mutex<Seen>) {
+fn serve(
+    mut stream: TcpStream,
+    acts: &mut impl Iterator<Item = ServerAct>,
+    received: &Mutex<Received>,
+) {
     for act in acts {
         match act {
-            Act::CloseBeforeRead => return,
-            Act::CloseInHead => {
+            ServerAct::CloseBeforeRead => return,
+            ServerAct::CloseInHead => {
                 let _ = stream.read(&mut [0; 10]);
                 return;
             }
@@ -73,18 +77,18 @@
         let Some(request) = read(&mut stream) else {
             return;
         };
-        seen.lock().expect("lock").requests.push(request);
+        received.lock().expect("lock").requests.push(request);
         match act {
-            Act::Answer(head, body) => {
+            ServerAct::Answer(head, body) => {
                 let length = body.len();
                 let reply = format!("HTTP/1.1 {head}\r\ncontent-length: {length}\r\n\r\n{body}");
                 let _ = stream.write_all(reply.as_bytes());
             }
-            Act::CloseInReply => {
+            ServerAct::CloseInReply => {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n{\"a\"");
                 return;
             }
-            Act::Hang => {
+            ServerAct::Hang => {
                 let _ = stream.read(&mut [0; 1]);
                 return;
             }
@@ -93,7 +97,7 @@
     }
 }
 
-/// Reads one request; its head, if it came as a whole.
+/// Reads one request and returns its head; none if the request is incomplete.
 fn read(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -141,12 +145,12 @@
     sub::Result::Failed { failure, outcome }
 }
 
-/// Sends one action to a server that acts as told, and says what is claimed of it and how many
-/// requests the server read as a whole.
-fn one(sub: &Sub, act: Act, left: Duration) -> (sub::Result, usize) {
-    let (address, seen) = server(vec![act, Act::Answer("200 OK", "again")]);
-    let (result, _) = client(address).send(1, sub, left);
-    let requests = seen.lock().expect("lock").requests.len();
+/// Sends one sub-request to a server that applies `act` to it. Returns the result and the number of
+/// requests that the server read completely.
+fn send_to_server(sub: &Sub, act: ServerAct, remaining: Duration) -> (sub::Result, usize) {
+    let (address, received) = server(vec![act, ServerAct::Answer("200 OK", "again")]);
+    let (result, _) = client(address).send(1, sub, remaining);
+    let requests = received.lock().expect("lock").requests.len();
     (result, requests)
 }
 
@@ -155,7 +159,7 @@
         #[doc = $about]
         #[test]
         fn $name() {
-            let (result, requests) = one(&$sub, $act, Duration::from_secs(5));
+            let (result, requests) = send_to_server(&$sub, $act, Duration::from_secs(5));
             assert_eq!(result, $result);
             assert_eq!(requests, $requests);
         }
@@ -168,9 +172,9 @@
 
 case!(
     closed_before_the_read,
-    "The server's host reboots as the request arrives; its caller must not be told that it did not run.",
+    "The server's host reboots as the request arrives; the request must not be reported as not run.",
     action(),
-    Act::CloseBeforeRead,
+    ServerAct::CloseBeforeRead,
     failed(Connection, Unknown),
     0
 );
@@ -178,99 +182,100 @@
     closed_in_the_head,
     "The connection is cut while the request is being written.",
     action(),
-    Act::CloseInHead,
+    ServerAct::CloseInHead,
     failed(Connection, Unknown),
     0
 );
 case!(
     closed_after_the_read,
-    "The server dies with the request in hand; sending it again would file the notice twice.",
+    "The server terminates after it read the request; sending it again would file the notice twice.",
     action(),
-    Act::CloseAfterRead,
+    ServerAct::CloseAfterRead,
     failed(Connection, Unknown),
     1
 );
 case!(
     closed_in_the_reply,
-    "The server dies while it answers; the notice is filed, but nobody can tell the caller.",
+    "The server terminates while it replies; the notice is filed, but the caller can't be told.",
     action(),
-    Act::CloseInReply,
+    ServerAct::CloseInReply,
     failed(Connection, Unknown),
     1
 );
 case!(
     shed,
-    "A server that is full says that it did not run the request; it may be offered to another.",
+    "A full server states that it did not run the request; it may be sent to another server.",
     action(),
-    Act::Answer("503 Busy\r\nx-outcome: not-run", ""),
+    ServerAct::Answer("503 Busy\r\nx-outcome: not-run", ""),
     failed(Failure::Shed, NotRun),
     1
 );
 case!(
     shed_while_cold,
-    "A server in a cold start turns a request away; its owner must slow down, not only go elsewhere.",
+    "A server in a cold start sheds a request; its owner must send less, not only use another server.",
     action(),
-    Act::Answer("503 Cold\r\nx-outcome: not-run\r\nx-state: cold", ""),
+    ServerAct::Answer("503 Cold\r\nx-outcome: not-run\r\nx-state: cold", ""),
     failed(Failure::Cold, NotRun),
     1
 );
 case!(
-    unavailable_without_a_word,
-    "A server fails without saying whether it ran the request; it may have.",
+    unavailable_without_an_outcome,
+    "A server fails without stating whether it ran the request; it may have.",
     action(),
-    Act::Answer("503 Busy", ""),
+    ServerAct::Answer("503 Busy", ""),
     failed(Failure::Shed, Unknown),
     1
 );
 case!(
-    gone_means_nothing_for_an_action,
+    gone_is_malformed_for_an_action,
     "A server answers an action with the status of a dropped snapshot; it may have run it.",
     action(),
-    Act::Answer("410 Gone", ""),
+    ServerAct::Answer("410 Gone", ""),
     failed(Failure::Malformed, Unknown),
     1
 );
 case!(
     snapshot_gone,
-    "A server has dropped the snapshot of a query under way.",
+    "A server has dropped the snapshot of a query in flight.",
     search(),
-    Act::Answer("410 Gone", ""),
+    ServerAct::Answer("410 Gone", ""),
     failed(Failure::SnapshotGone, NotRun),
     1
 );
 case!(
-    another_shards_reply,
-    "A reply of another shard must not be counted as this one's, or its hits would show twice.",
+    reply_for_another_shard,
+    "A reply for another shard must be rejected, or the hits of that shard would appear twice.",
     search(),
-    Act::Answer("200 OK", r#"{"snapshot":7,"shard":4,"hits":[]}"#),
+    ServerAct::Answer("200 OK", r#"{"snapshot":7,"shard":4,"hits":[]}"#),
     failed(Failure::Malformed, Unknown),
     1
 );
 case!(
-    another_snapshots_reply,
-    "A server that has moved on answers from a newer snapshot; the answer would mix two.",
+    reply_from_another_snapshot,
+    "A server replies from a newer snapshot; the merged answer would mix two snapshots.",
     search(),
-    Act::Answer("200 OK", r#"{"snapshot":8,"shard":3,"hits":[]}"#),
+    ServerAct::Answer("200 OK", r#"{"snapshot":8,"shard":3,"hits":[]}"#),
     failed(Failure::Malformed, Unknown),
     1
 );
 case!(
-    done,
-    "All goes well.",
+    replied,
+    "The server replies with status 200; its body is the result.",
     action(),
-    Act::Answer("200 OK", "ok"),
+    ServerAct::Answer("200 OK", "ok"),
     sub::Result::Reply(b"ok".to_vec()),
     1
 );
 
-/// The server hangs with the request in hand; its caller is told in time, and not that it did not run.
+/// The server hangs after it read the request. The result must come at the deadline, with an unknown
+/// outcome.
 #[test]
 fn no_reply_in_time() {
-    let (result, _) = one(&action(), Act::Hang, Duration::from_millis(100));
+    let (result, _) = send_to_server(&action(), ServerAct::Hang, Duration::from_millis(100));
     assert_eq!(result, failed(Failure::Timeout, Unknown));
 }
 
-/// Nobody listens where the server was; the request is certainly not run and goes elsewhere.
+/// No process listens at the server's address; the request did not run and may be sent elsewhere.
 #[test]
 fn refused_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -280,56 +285,56 @@
     assert_eq!(result, failed(Connection, NotRun));
 }
 
-/// The allowance is over before a connection is open; no byte has left.
+/// The deadline passes before a connection is open; no byte was sent.
 #[test]
 fn no_time_to_connect() {
-    let (address, seen) = server(vec![Act::Answer("200 OK", "ok")]);
+    let (address, received) = server(vec![ServerAct::Answer("200 OK", "ok")]);
     let (result, _) = client(address).send(1, &action(), Duration::ZERO);
     assert_eq!(result.outcome(), NotRun);
-    assert!(seen.lock().expect("lock").requests.is_empty());
+    assert!(received.lock().expect("lock").requests.is_empty());
 }
 
-/// A kept connection is closed by the server as the next request is written to it. A client that
-/// sends again by itself would run a request twice when the server had read it after all.
+/// The server closes an idle connection while the next request is written to it. If the client library
+/// retried by itself, a request that the server had already read would run twice.
 #[test]
-fn a_kept_connection_that_dies_is_not_tried_again() {
+fn a_request_on_a_closed_idle_connection_is_not_retried() {
     let acts = vec![
-        Act::Answer("200 OK", "one"),
-        Act::CloseAfterRead,
-        Act::Answer("200 OK", "two"),
+        ServerAct::Answer("200 OK", "one"),
+        ServerAct::CloseAfterRead,
+        ServerAct::Answer("200 OK", "two"),
     ];
-    let (address, seen) = server(acts);
+    let (address, received) = server(acts);
     let client = client(address);
-    let left = Duration::from_secs(5);
-    let (first, _) = client.send(1, &action(), left);
+    let remaining = Duration::from_secs(5);
+    let (first, _) = client.send(1, &action(), remaining);
     assert_eq!(first, sub::Result::Reply(b"one".to_vec()));
-    let (second, _) = client.send(2, &action(), left);
+    let (second, _) = client.send(2, &action(), remaining);
     assert_eq!(second, failed(Connection, Unknown));
-    let seen = seen.lock().expect("lock");
-    // Both went over the one connection, and nothing went over another.
-    assert_eq!((seen.connections, seen.requests.len()), (1, 2));
+    let received = received.lock().expect("lock");
+    // Both requests used the same connection, and no other connection was opened.
+    assert_eq!((received.connections, received.requests.len()), (1, 2));
 }
 
-/// Two processes number their requests from 1. A cancellation that named the number alone would
-/// end the other's request, and its caller would miss a shard.
+/// Two processes number their requests from 1. A cancellation that contained only the number would
+/// end the other process's request, whose answer would then miss a shard.
 #[test]
-fn a_cancellation_names_its_process() {
-    let (address, seen) = server(vec![
-        Act::Answer("200 OK", "one"),
-        Act::Answer("200 OK", ""),
+fn a_cancellation_identifies_its_process() {
+    let (address, received) = server(vec![
+        ServerAct::Answer("200 OK", "one"),
+        ServerAct::Answer("200 OK", ""),
     ]);
     let client = client(address);
     client.send(1, &action(), Duration::from_secs(5));
     client.cancel(1);
-    let seen = seen.lock().expect("lock");
-    assert!(seen.requests[0].contains("x-request-id: host-0.1f-1\r\n"));
-    assert!(seen.requests[1].starts_with("delete /v1/requests/host-0.1f-1 "));
+    let received = received.lock().expect("lock");
+    assert!(received.requests[0].contains("x-request-id: host-0.1f-1\r\n"));
+    assert!(received.requests[1].starts_with("delete /v1/requests/host-0.1f-1 "));
 }
 
-/// What a server says of itself while it turns a request away reaches its owner.
+/// The server's report on its state is read from a refusal too, since its owner needs it.
 #[test]
 fn a_refusal_carries_the_report() {
-    let act = Act::Answer(
+    let act = ServerAct::Answer(
         "503 Busy\r\nx-outcome: not-run\r\nx-state: draining\r\nx-load: 0.5",
         "",
     );
--- a/crates/lentillift-backend/tests/fuzz.rs
+++ b/crates/lentillift-backend/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Whatever a backend server replies, it counts as hits of what was asked for, or not at all.
+//! Property tests of the reply parser: a reply is either parsed into sorted hits of the requested
+//! snapshot and shard, or rejected, without a panic.
 
 use lentillift_backend::reply;
 use lentillift_core::hit;
@@ -28,7 +29,7 @@
     })]
 
     #[test]
-    fn any_reply_is_hits_of_what_was_asked_or_none(body in body(), cut in 0usize..200) {
+    fn any_reply_is_hits_of_the_requested_shard_or_rejected(body in body(), cut in 0usize..200) {
         let cut = &body.as_bytes()[..cut.min(body.len())];
         for bytes in [body.as_bytes(), cut] {
             match reply::hits(bytes, 1, 1) {
@@ -43,7 +44,7 @@
     }
 
     #[test]
-    fn any_bytes_are_taken_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn any_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         prop_assert!(reply::hits(&bytes, 1, 1).is_err());
     }
 }
