--- a/crates/lentillift-platform/src/client.rs
+++ b/crates/lentillift-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Reading and watching the platform's configuration service.
+//! Client that reads values from the platform's configuration service and watches for changes.
 
 use lentillift_core::error::Error;
 use lentillift_core::error::Result;
@@ -10,16 +10,17 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// Largest value that the service holds, in bytes, and some room for its head.
-const VALUE_LIMIT: u64 = 1024 * 1024 + 4096;
+/// Maximum size of a response, in bytes: the largest value that the service stores, 1 MiB, and some
+/// room for its head.
+const MAX_BODY_BYTES: u64 = 1024 * 1024 + 4096;
 
-/// Time over a watch's own wait after which it is given up.
-const GRACE: Duration = Duration::from_secs(2);
+/// Timeout of a request, on top of the time that a watch asks the service to wait.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The keys that the service holds, with the version of each.
+/// The keys that the service stores, with the version of each.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Index {
-    /// Version of the whole; it changes with every key.
+    /// Version of the index; it changes whenever a key changes.
     pub version: u64,
     /// Version of each key.
     pub keys: BTreeMap<String, u64>,
@@ -33,7 +34,7 @@
 }
 
 impl Client {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client without opening a connection.
     pub fn new(address: SocketAddr) -> Self {
         let config = Agent::config_builder().proxy(None).max_redirects(0).build();
         Self {
@@ -42,14 +43,14 @@
         }
     }
 
-    /// Waits until the index is newer than `since`, at most for `wait`, and returns it.
+    /// Returns the index once its version is above `since`, or after `wait` in any case.
     ///
     /// # Errors
     ///
-    /// When the service can't be reached or its answer is malformed.
+    /// If the service can't be reached, responds with an error status, or sends a malformed index.
     pub fn watch(&self, since: u64, wait: Duration) -> Result<Index> {
         let path = format!("/v1/index?since={since}&wait_ms={}", wait.as_millis());
-        let body = self.get(&path, wait + GRACE)?;
+        let body = self.get(&path, wait + REQUEST_TIMEOUT)?;
         serde_json::from_slice(&body).map_err(|e| self.error(Step::Decode, e))
     }
 
@@ -57,9 +58,9 @@
     ///
     /// # Errors
     ///
-    /// When the service can't be reached, has no such key, or the value is too large.
+    /// If the service can't be reached, has no such key, or the value is too large.
     pub fn value(&self, key: &str) -> Result<Vec<u8>> {
-        self.get(&format!("/v1/values/{key}"), GRACE)
+        self.get(&format!("/v1/values/{key}"), REQUEST_TIMEOUT)
     }
 
     fn get(&self, path: &str, timeout: Duration) -> Result<Vec<u8>> {
@@ -70,7 +71,7 @@
             .timeout_global(Some(timeout))
             .build();
         let mut response = request.call().map_err(|e| self.error(Step::Read, e))?;
-        let body = response.body_mut().with_config().limit(VALUE_LIMIT);
+        let body = response.body_mut().with_config().limit(MAX_BODY_BYTES);
         body.read_to_vec().map_err(|e| self.error(Step::Read, e))
     }
 
--- a/crates/lentillift-platform/src/lib.rs
+++ b/crates/lentillift-platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface to the platform's configuration service, which can only be read.
+//! Read-only HTTP client of the platform's configuration service.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-platform/tests/fuzz.rs
+++ b/crates/lentillift-platform/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Whatever the configuration service answers, its client refuses it clearly and lives on.
+//! Malformed responses of the configuration service: the client must return an error that names the
+//! failed step and the service's address, without a panic.
 
 use lentillift_core::error::Step;
 use lentillift_platform::client::Client;
@@ -8,7 +9,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A service that answers each request with these bytes and closes the connection.
+/// Starts a service that responds to each request with `reply` and closes the connection.
 fn service(reply: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -35,47 +36,52 @@
             let address = service($reply);
             let client = Client::new(address);
             let error = client.watch(0, Duration::from_millis(10));
-            let error = error.expect_err("an answer that is no index");
+            let error = error.expect_err("an error, since the response is no index");
             assert_eq!(error.step, Step::$step);
             assert!(error.peer.contains(&address.to_string()), "{error}");
         }
     };
 }
 
-case!(closed, "The service ends as it is asked.", Vec::new(), Read);
 case!(
-    no_http,
-    "Something else listens there.",
+    closed_before_the_response,
+    "The service terminates when it receives the request.",
+    Vec::new(),
+    Read
+);
+case!(
+    not_http,
+    "Another program, which does not speak HTTP, listens at the address.",
     b"\x16\x03\x01\x02\x00".repeat(50),
     Read
 );
 case!(
-    no_json,
-    "A page of a proxy comes in place of the index.",
+    not_json,
+    "A proxy responds with an HTML page in place of the index.",
     with_body(b"<html>"),
     Decode
 );
 case!(
-    another_shape,
-    "The index has lost its fields.",
+    wrong_shape,
+    "A field of the index is missing and another has the wrong type.",
     with_body(br#"{"version":"1"}"#),
     Decode
 );
 case!(
-    brackets,
-    "An index of brackets would overflow the stack of every process.",
+    deep_nesting,
+    "A deeply nested index must not overflow the stack, which would end every process.",
     with_body(&b"[".repeat(900_000)),
     Decode
 );
 case!(
-    cut_off,
-    "The service ends in the middle of its answer.",
+    truncated,
+    "The service terminates in the middle of its response.",
     b"HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{\"version\":1,".to_vec(),
     Read
 );
 case!(
     too_large,
-    "An index without end would fill the memory of every process.",
+    "An index of unbounded size must not exhaust the memory of every process.",
     with_body(&b" ".repeat(2 * 1024 * 1024)),
     Read
 );
