--- a/crates/lentillift-http/src/lib.rs
+++ b/crates/lentillift-http/src/lib.rs
@@ -1,9 +1,10 @@
-//! An HTTP/1.1 listener with a bound on everything that a peer can hold.
+//! An HTTP/1.1 listener that bounds every resource a peer can occupy.
 //!
-//! Bounded are the connections, the time to send a request's head, the time to send its body, and
-//! the body's size. The library that the house style names first, `rouille`, sets no read timeout,
-//! starts a thread for each connection without a bound, and stops listening for good at the first
-//! failed `accept`; `hyper` is its nearest kin that leaves these choices to the program.
+//! The bounds apply to the number of connections, the time to send a request's head, the time to
+//! send its body, and the size of the body. `rouille`, the first choice of the style guide, sets no
+//! read timeout, starts a thread for each connection without a limit, and stops listening for good
+//! after the first failed `accept`. `hyper` is the closest library that leaves these decisions to
+//! the program.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-http/src/listener.rs
+++ b/crates/lentillift-http/src/listener.rs
@@ -24,19 +24,19 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Pause after a failed `accept`, for example when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bounds of a listener.
+/// Limits and timeouts of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Connections that are open at a time.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time for a peer to send a request's head; also bounds how long a connection stays idle.
+    /// Timeout for receiving a request's head; also the longest time that a connection may be idle.
     pub head_timeout: Duration,
-    /// Time for a peer to send a request's body.
+    /// Timeout for receiving a request's body.
     pub body_timeout: Duration,
-    /// Largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_limit: usize,
 }
 
@@ -51,9 +51,10 @@
     }
 }
 
-/// Serves requests until `stop` turns true, then finishes those under way.
+/// Serves requests until `stop` becomes true, then finishes those in flight.
 ///
-/// A request whose body is too large, late or cut off is answered here and never reaches `handler`.
+/// A request whose body is too large, too slow or truncated gets an error status and never reaches
+/// `handler`.
 pub async fn serve<H, F>(
     listener: TcpListener,
     options: Options,
@@ -72,13 +73,13 @@
         };
         match accepted {
             Ok((stream, permit)) => {
-                let connection = connection(stream, options, stop.clone(), handler.clone());
+                let connection = serve_connection(stream, options, stop.clone(), handler.clone());
                 connections.spawn(async move {
                     connection.await;
                     drop(permit);
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
@@ -86,7 +87,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Accepts a connection once fewer than the permitted number are open.
+/// Accepts a connection once fewer than the maximum number are open.
 async fn accept(
     listener: &TcpListener,
     permits: &Arc<Semaphore>,
@@ -98,8 +99,8 @@
     Ok((stream, permit))
 }
 
-/// Serves one connection; an error of it concerns nobody but its peer.
-async fn connection<H, F>(
+/// Serves one connection. Its errors are ignored, since they affect only its peer.
+async fn serve_connection<H, F>(
     stream: TcpStream,
     options: Options,
     mut stop: watch::Receiver<bool>,
@@ -124,6 +125,7 @@
     }
 }
 
+/// Receives a request's body within the bounds and calls `handler`.
 async fn respond<H, F>(
     request: Request<Incoming>,
     options: Options,
@@ -138,23 +140,23 @@
     let response = match tokio::time::timeout(options.body_timeout, body).await {
         Ok(Ok(body)) => handler(Request::from_parts(head, body.to_bytes())).await,
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            let detail = format!("body: at most {} bytes are right", options.body_limit);
+            let detail = format!("body: expected at most {} bytes", options.body_limit);
             plain(StatusCode::PAYLOAD_TOO_LARGE, detail)
         }
-        Ok(Err(_)) => plain(StatusCode::BAD_REQUEST, "body: cut off".to_owned()),
+        Ok(Err(_)) => plain(StatusCode::BAD_REQUEST, "body: truncated".to_owned()),
         Err(_) => plain(StatusCode::REQUEST_TIMEOUT, "body: too slow".to_owned()),
     };
     Ok(response.map(Full::new))
 }
 
-/// A response with one line of text.
+/// Creates a plain-text response; a line feed is appended to `text`.
 pub fn plain(status: StatusCode, text: String) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(text + "\n"));
     *response.status_mut() = status;
     response
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json(status: StatusCode, body: Vec<u8>) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(body));
     *response.status_mut() = status;
--- a/crates/lentillift-http/tests/bounds.rs
+++ b/crates/lentillift-http/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What a peer that misbehaves can hold of a listener, over real sockets.
+//! The listener's bounds against peers that misbehave, over real sockets.
 
 use bytes::Bytes;
 use http::Request;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends `bytes` and returns all that comes back until the listener closes the connection.
+    /// Sends `bytes` and returns all bytes received until the listener closes the connection.
     async fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes).await.unwrap();
@@ -61,8 +61,8 @@
     plain(StatusCode::OK, format!("{} bytes", request.body().len()))
 }
 
-/// Bounds so small that the tests reach them.
-fn tight() -> Options {
+/// Bounds that are small enough for the tests to reach.
+fn small_bounds() -> Options {
     Options {
         connections: 1,
         head_timeout: Duration::from_millis(100),
@@ -71,13 +71,14 @@
     }
 }
 
-/// Names a case: what a peer sends, the status it gets, and how many requests reach the handler.
+/// Defines cases: the bytes that a peer sends, the start of the response, and the number of requests
+/// that reach the handler.
 macro_rules! cases {
     ($($name:ident: $bytes:expr => $status:expr, $handled:expr;)+) => {
         $(
             #[tokio::test]
             async fn $name() {
-                let fixture = Fixture::start(tight()).await;
+                let fixture = Fixture::start(small_bounds()).await;
                 let reply = fixture.exchange($bytes.as_bytes()).await;
                 let status: &str = $status;
                 assert!(reply.starts_with(status), "found {reply:?}");
@@ -97,13 +98,13 @@
     a_chunked_body_over_the_limit_is_refused:
         "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\nb\r\nabcdefghijk\r\n0\r\n\r\n"
         => "HTTP/1.1 413", 0;
-    a_body_that_stops_coming_is_refused:
+    an_incomplete_body_is_refused:
         "POST / HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: 5\r\n\r\nab"
         => "HTTP/1.1 408", 0;
-    a_head_that_stops_coming_is_cut:
+    an_incomplete_head_closes_the_connection:
         "POST / HTTP/1.1\r\nhost"
         => "", 0;
-    a_connection_without_a_request_is_cut:
+    a_connection_without_a_request_is_closed:
         ""
         => "", 0;
     bytes_that_are_not_http_are_refused:
@@ -114,25 +115,25 @@
         => "HTTP/1.1 400", 0;
 }
 
-/// A peer opens a connection and sends nothing. With one connection permitted, the next caller has
-/// to wait, but only until the silent connection is cut; without the cut it would wait forever.
+/// A peer opens the only permitted connection and sends nothing. The next peer waits until the head
+/// timeout closes the idle connection; without that timeout it would wait forever.
 #[tokio::test]
-async fn a_silent_connection_gives_its_place_back() {
-    let fixture = Fixture::start(tight()).await;
-    let _silent = TcpStream::connect(fixture.address).await.unwrap();
+async fn an_idle_connection_is_closed_and_frees_its_permit() {
+    let fixture = Fixture::start(small_bounds()).await;
+    let _idle = TcpStream::connect(fixture.address).await.unwrap();
     let request = "GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     let reply = fixture.exchange(request.as_bytes()).await;
     assert!(reply.starts_with("HTTP/1.1 200"), "found {reply:?}");
 }
 
-/// The process is told to stop while a caller's body is on its way. The caller gets its answer, and
-/// the listener ends after it.
+/// The process is stopped while it receives a request's body. The peer must still get its response,
+/// and the listener ends after it.
 #[tokio::test]
-async fn a_stop_cuts_no_request_under_way() {
+async fn a_stop_finishes_requests_in_flight() {
     let options = Options {
         head_timeout: Duration::from_secs(30),
         body_timeout: Duration::from_secs(30),
-        ..tight()
+        ..small_bounds()
     };
     let fixture = Fixture::start(options).await;
     let mut stream = TcpStream::connect(fixture.address).await.unwrap();
