--- a/crates/lentillift-trace/src/core.rs
+++ b/crates/lentillift-trace/src/core.rs
@@ -1,4 +1,4 @@
-//! The parts that can be recorded and replayed.
+//! The cores that can be recorded and replayed.
 
 use crate::line::Head;
 use crate::line::Part;
@@ -11,26 +11,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A part that takes timed events and returns effects.
+/// A state machine without I/O that takes timed events and returns effects.
 pub trait Core {
-    /// What happens to it.
+    /// An input, such as a request, a reply or a tick.
     type Event: Serialize + DeserializeOwned;
-    /// What it wants done.
+    /// An action that the process must carry out, such as sending a sub-request.
     type Effect: Serialize;
 
-    /// Which part it is.
+    /// The core, as the head of its traces names it.
     const PART: Part;
 
-    /// Makes the part as a process of that head starts it.
+    /// Creates the core in the state in which the process described by `head` starts it.
     fn start(head: &Head) -> Self;
 
-    /// Takes in an event and says what to do about it.
+    /// Processes an event and returns its effects.
     fn handle(&mut self, now: Time, event: Self::Event) -> Vec<Self::Effect>;
 
-    /// When a tick is next due.
+    /// Time at which the next tick is due; none if no timer is set.
     fn next_wake(&self) -> Option<Time>;
 
-    /// The event that tells that time has passed.
+    /// The event that makes the core run the timers that are due.
     fn tick() -> Self::Event;
 }
 
--- a/crates/lentillift-trace/src/lib.rs
+++ b/crates/lentillift-trace/src/lib.rs
@@ -1,8 +1,8 @@
-//! Recording and replay of decisions.
+//! Recording and replay of the decisions of a process's cores.
 //!
-//! The parts of a process that decide take timed events and return effects. A trace is a file of
-//! JSON lines: a head, then each event with its time and, where it was recorded, its effects. The
-//! same code is fed with it again under virtual time, without network or clock.
+//! A core takes timed events and returns effects, and does no I/O itself. A trace is a file of JSON
+//! lines: a head, then each event with its time and, if they were recorded, its effects. A replay
+//! feeds the events to the same code again in virtual time, without network or clock.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-trace/src/line.rs
+++ b/crates/lentillift-trace/src/line.rs
@@ -1,4 +1,4 @@
-//! Lines of a trace.
+//! The lines of a trace file.
 
 use lentillift_core::id;
 use lentillift_core::time::Time;
@@ -7,16 +7,16 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The version of the format that is written and read.
+/// Version of the trace format; the only one that is written and read.
 pub const VERSION: u32 = 1;
 
-/// Which part of a process a trace is of.
+/// The core of a process that a trace records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Part {
-    /// Queries of callers.
+    /// The core that serves queries of callers.
     Entry,
-    /// Requests that may run at most once.
+    /// The core that serves actions, which run at most once.
     Once,
 }
 
@@ -24,40 +24,40 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Head {
-    /// The version of the format.
+    /// Version of the trace format, [`VERSION`].
     pub trace: u32,
-    /// The part that the trace is of.
+    /// The core that the trace records.
     pub part: Part,
-    /// The host.
+    /// Name of the host that the process ran on.
     pub host: id::Host,
-    /// The failure domain of the host.
+    /// Failure domain of the host; none if it is not known.
     pub domain: Option<id::Domain>,
     /// The incarnation of the process.
     pub incarnation: id::Incarnation,
-    /// What the part's random numbers start from.
+    /// Seed of the core's random number generator.
     pub seed: u64,
-    /// Whether ticks stand in the trace; else they come when they are due.
+    /// Whether the trace contains the ticks. Otherwise a replay inserts them when they are due.
     pub ticks: bool,
-    /// What happens, for a reader.
+    /// Description of the trace for people; not read by a replay.
     #[serde(default)]
     pub about: String,
 }
 
-/// Any further line of a trace.
+/// A line after the head: one event and its effects.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// When it happened, in nanoseconds since the process started.
+    /// Time of the event, in nanoseconds since the process started.
     pub at_ns: u64,
-    /// What happened.
+    /// The event, with generated ids replaced as described in [`crate::names`].
     pub event: Value,
-    /// What was decided, where that was recorded.
+    /// The effects that the core returned; none if they were not recorded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub effects: Option<Vec<Value>>,
 }
 
 impl Line {
-    /// When it happened.
+    /// Time of the event, since the process started.
     pub fn at(&self) -> Time {
         Duration::from_nanos(self.at_ns)
     }
--- a/crates/lentillift-trace/src/record.rs
+++ b/crates/lentillift-trace/src/record.rs
@@ -1,4 +1,4 @@
-//! Recording a part of a running process.
+//! Recording of a core in a running process.
 
 use crate::core::Core;
 use crate::line::Head;
@@ -21,16 +21,16 @@
 use std::sync::mpsc::sync_channel;
 use tracing::warn;
 
-/// Lines that wait to be written at most.
-const QUEUE: usize = 4096;
+/// Maximum number of lines that wait to be written.
+const QUEUE_LINES: usize = 4096;
 
-/// Lines of a trace at most, so that one that is forgotten does not fill its file system.
-const MOST: usize = 1_000_000;
+/// Maximum number of lines of a trace, so that a forgotten recording does not fill its file system.
+const MAX_LINES: usize = 1_000_000;
 
-/// Writes a trace.
+/// Writes a trace to a file, on a thread of its own.
 ///
-/// A trace must have no gap, or it could not be replayed. One that can't be written as fast as
-/// things happen, or is long enough, ends where it is.
+/// A trace with a gap can't be replayed. The recording therefore ends when the writer falls behind
+/// and the queue is full, or when the trace has reached its maximum length.
 #[derive(Debug)]
 pub struct Recorder {
     lines: Option<SyncSender<String>>,
@@ -39,15 +39,15 @@
 }
 
 impl Recorder {
-    /// Starts a trace in a file.
+    /// Creates the file and writes the head of the trace.
     ///
     /// # Errors
     ///
-    /// Names the file that can't be made.
+    /// Names the file if it can't be created.
     pub fn start(path: &Path, head: &Head) -> Result<Self> {
         let file = File::create(path);
         let file = file.map_err(|e| Error::new(Step::Write, path.display(), e))?;
-        let (lines, queue) = sync_channel(QUEUE);
+        let (lines, queue) = sync_channel(QUEUE_LINES);
         let mut recorder = Self {
             lines: Some(lines),
             written: 0,
@@ -58,6 +58,7 @@
         Ok(recorder)
     }
 
+    /// Queues a line, or ends the recording if that is not possible.
     fn push<T>(&mut self, line: &T)
     where
         T: Serialize,
@@ -68,26 +69,29 @@
             _ => false,
         };
         self.written += 1;
-        if !sent || self.written >= MOST {
-            warn!(lines = self.written, "trace ended");
+        if !sent || self.written >= MAX_LINES {
+            warn!(
+                lines = self.written,
+                "recording of the trace ended: queue full, write failed or maximum length reached"
+            );
             self.lines = None;
         }
     }
 
-    /// Notes an event and its effects.
-    fn note<E>(&mut self, now: Time, mut event: Value, effects: &[E])
+    /// Records an event and its effects, with names in place of generated ids.
+    fn record<E>(&mut self, now: Time, mut event: Value, effects: &[E])
     where
         E: Serialize,
     {
-        self.names.name(&mut event);
+        self.names.replace_ids(&mut event);
         let effects = effects
             .iter()
             .map(|e| serde_json::to_value(e).unwrap_or_default());
         let mut effects: Vec<Value> = effects.collect();
-        self.names.learn(&effects);
+        self.names.register(&effects);
         effects
             .iter_mut()
-            .for_each(|effect| self.names.name(effect));
+            .for_each(|effect| self.names.replace_ids(effect));
         self.push(&Line {
             at_ns: now.as_nanos() as u64,
             event,
@@ -108,7 +112,7 @@
     }
 }
 
-/// A part that is recorded, or not.
+/// A core whose events and effects are recorded if it has a recorder.
 #[derive(Debug)]
 pub struct Traced<C> {
     core: C,
@@ -119,19 +123,19 @@
 where
     C: Core,
 {
-    /// Wraps a part that was just started.
+    /// Wraps a core that has not processed any event yet.
     pub fn new(core: C, recorder: Option<Recorder>) -> Self {
         Self { core, recorder }
     }
 
-    /// Takes in an event and says what to do about it.
+    /// Processes an event and returns its effects, and records both.
     pub fn handle(&mut self, now: Time, event: C::Event) -> Vec<C::Effect> {
         let Some(recorder) = self.recorder.as_mut().filter(|r| r.lines.is_some()) else {
             return self.core.handle(now, event);
         };
-        let shown = serde_json::to_value(&event).unwrap_or_default();
+        let event_json = serde_json::to_value(&event).unwrap_or_default();
         let effects = self.core.handle(now, event);
-        recorder.note(now, shown, &effects);
+        recorder.record(now, event_json, &effects);
         effects
     }
 }
--- a/crates/lentillift-trace/tests/replay.rs
+++ b/crates/lentillift-trace/tests/replay.rs
@@ -1,19 +1,19 @@
-//! Replay of the traces in `traces/` against the outcomes stated beside them.
+//! Replays the traces in `traces/` and compares them with the expected outcomes stored beside them.
 
 use lentillift_trace::replay::Decision;
-use lentillift_trace::replay::holds;
+use lentillift_trace::replay::includes;
 use lentillift_trace::replay::replay;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What a trace must come to.
+/// The expected outcome of a trace.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Stated {
-    /// How many sub-requests are sent for each shard or id that is named.
+struct Expected {
+    /// Number of sub-requests sent for each listed shard (`SNAPSHOT/SHARD`) or id (`$NUMBER`).
     sent: BTreeMap<String, usize>,
-    /// What callers get, in order, and nothing else.
+    /// The responses to callers, in order; there must be no others.
     #[serde(rename = "final")]
     answers: Vec<Answer>,
 }
@@ -25,35 +25,39 @@
     effect: Value,
 }
 
-/// Whether a decision is one that a caller sees.
-fn is_final(decision: &&Decision) -> bool {
+/// Whether a decision is a response to a caller.
+fn is_response(decision: &&Decision) -> bool {
     let kinds = ["answer", "refuse", "settle", "issued"];
     kinds.iter().any(|kind| decision.effect.get(kind).is_some())
 }
 
-/// What a sub-request's name says it is for.
-fn sent_for(decision: &Decision) -> Option<&str> {
+/// The shard or id that a sub-request was sent for, taken from its name.
+fn sub_request_target(decision: &Decision) -> Option<&str> {
     let name = decision.effect.pointer("/send/sub/id")?.as_str()?;
     name.split('#').next()
 }
 
-fn check(name: &str, trace: &str, stated: &str) {
-    let outcome = replay(name, trace).expect("a trace that can be read");
-    let stated: Stated = serde_json::from_str(stated).expect("stated outcomes");
-    let found: Vec<&Decision> = outcome.decisions.iter().filter(is_final).collect();
-    assert_eq!(found.len(), stated.answers.len(), "{found:#?}");
-    for (wanted, found) in stated.answers.iter().zip(found) {
+fn check(name: &str, trace: &str, expected: &str) {
+    let outcome = replay(name, trace).expect("a trace that can be parsed");
+    let expected: Expected = serde_json::from_str(expected).expect("expected outcomes");
+    let found: Vec<&Decision> = outcome.decisions.iter().filter(is_response).collect();
+    assert_eq!(found.len(), expected.answers.len(), "{found:#?}");
+    for (wanted, found) in expected.answers.iter().zip(found) {
         assert!(
-            holds(&wanted.effect, &found.effect),
+            includes(&wanted.effect, &found.effect),
             "{wanted:#?}\n{found:#?}"
         );
         if let Some(at) = wanted.at_ms {
             assert_eq!(found.at.as_millis() as u64, at, "{found:#?}");
         }
     }
-    for (what, count) in &stated.sent {
-        let sent = outcome.decisions.iter().filter_map(sent_for);
-        assert_eq!(sent.filter(|sent| sent == what).count(), *count, "{what}");
+    for (target, count) in &expected.sent {
+        let sent = outcome.decisions.iter().filter_map(sub_request_target);
+        assert_eq!(
+            sent.filter(|sent| sent == target).count(),
+            *count,
+            "{target}"
+        );
     }
 }
 
@@ -62,8 +66,8 @@
         #[test]
         fn $name() {
             let trace = include_str!(concat!("../traces/", $file, ".jsonl"));
-            let stated = include_str!(concat!("../traces/", $file, ".json"));
-            check($file, trace, stated);
+            let expected = include_str!(concat!("../traces/", $file, ".json"));
+            check($file, trace, expected);
         }
     };
 }
@@ -78,7 +82,7 @@
 trace!(resend, "resend");
 
 #[test]
-fn a_broken_trace_is_named() {
+fn an_error_names_the_trace_and_the_line() {
     let trace = include_str!("../traces/resend.jsonl").replace("\"issue\"", "\"isue\"");
     let error = replay("resend", &trace).expect_err("a line that is no event");
     assert!(error.to_string().contains("resend line 3"), "{error}");
