--- a/crates/lentillift-standin/src/backend.rs
+++ b/crates/lentillift-standin/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that searches nothing and says so quickly, or slowly.
+//! Simulated backend server: replies with generated hits after a simulated service time.
 
 pub use crate::behavior::Behavior;
 use bytes::Bytes;
@@ -28,27 +28,27 @@
 use tokio::sync::Notify;
 use tokio::sync::watch;
 
-/// Hits that a reply holds.
-const HITS: u64 = 10;
+/// Number of hits in a reply to a search.
+const HITS_PER_REPLY: u64 = 10;
 
-/// What a backend server has seen.
+/// Counters of a backend server.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
-    /// Requests that were started.
+    /// Requests that were accepted.
     pub requests: u64,
-    /// Requests under way, waiting ones included.
+    /// Requests that are executed or wait.
     pub in_flight: u32,
-    /// Most requests under way at a time.
+    /// Maximum of `in_flight` so far.
     pub peak: u32,
-    /// Times that more requests were under way than it bears.
+    /// Requests whose arrival raised `in_flight` above the server's capacity.
     pub overloads: u64,
-    /// Times that it fell back to a cold start, because it got too much in one.
+    /// Times that an overload during a cold start made the cold start begin again.
     pub falls: u64,
-    /// Requests that it shed.
+    /// Requests that were shed because the queue was full.
     pub shed: u64,
-    /// Cancellations.
+    /// Requests that were cancelled by the client.
     pub cancelled: u64,
-    /// How often each idempotency key was run.
+    /// Number of times that each action ran, by idempotency key; more than 1 is a duplicate.
     pub actions: BTreeMap<String, u64>,
 }
 
@@ -56,18 +56,19 @@
 struct State {
     behavior: Behavior,
     count: Count,
-    /// Requests that it works on now.
+    /// Requests that are executed now and occupy a slot.
     busy: u32,
-    running: HashMap<String, Arc<Notify>>,
+    /// Signals that cancel the requests in flight, by request id.
+    cancel_signals: HashMap<String, Arc<Notify>>,
     rng: StdRng,
 }
 
-/// A backend server.
+/// A simulated backend server. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct Backend {
     state: Arc<Mutex<State>>,
-    /// Told whenever a request ends, so that one that waits may start.
-    ended: Arc<Notify>,
+    /// Notified whenever a slot becomes free, so that a waiting request can start.
+    slot_freed: Arc<Notify>,
 }
 
 impl Default for Backend {
@@ -77,32 +78,32 @@
 }
 
 impl Backend {
-    /// Makes a backend server that behaves as told.
+    /// Creates a backend server with this behavior.
     pub fn new(behavior: Behavior) -> Self {
         let state = State {
             rng: StdRng::seed_from_u64(behavior.seed),
             behavior,
             count: Count::default(),
             busy: 0,
-            running: HashMap::new(),
+            cancel_signals: HashMap::new(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
-            ended: Arc::default(),
+            slot_freed: Arc::default(),
         }
     }
 
-    /// Changes how it behaves from now on.
+    /// Changes the behavior from now on.
     pub fn set(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut self.lock().behavior);
     }
 
-    /// What it has seen so far.
+    /// The counters up to now.
     pub fn count(&self) -> Count {
         self.lock().count.clone()
     }
 
-    /// Serves requests until `stop` turns true.
+    /// Serves requests until `stop` becomes true.
     pub async fn serve(self, listener: TcpListener, stop: watch::Receiver<bool>) {
         let handler = move |request: Request<Bytes>| {
             let backend = self.clone();
@@ -129,16 +130,16 @@
         let (Some(snapshot), Some(shard)) = (snapshot, shard) else {
             return plain(StatusCode::BAD_REQUEST, "x-snapshot, x-shard".to_owned());
         };
-        if !self.lock().behavior.holds(snapshot) {
+        if !self.lock().behavior.has_snapshot(snapshot) {
             return self.reply(StatusCode::GONE, "snapshot gone".to_owned());
         }
-        if !self.work(headers).await {
+        if !self.execute(headers).await {
             return self.shed();
         }
-        let hits: Vec<_> = (0..HITS)
+        let hits: Vec<_> = (0..HITS_PER_REPLY)
             .map(|n| {
-                // Scores interleave over shards, so that a merge has to look at all of them.
-                let score = (HITS - n) as f64 + f64::from(shard % 97) / 100.0;
+                // Scores of different shards interleave, so that a merge has to compare all shards.
+                let score = (HITS_PER_REPLY - n) as f64 + f64::from(shard % 97) / 100.0;
                 serde_json::json!({ "id": format!("{shard}-{n}"), "score": score })
             })
             .collect();
@@ -154,7 +155,7 @@
             return self.shed();
         }
         *self.lock().count.actions.entry(key.clone()).or_default() += 1;
-        self.work(headers).await;
+        self.execute(headers).await;
         self.reply(
             StatusCode::OK,
             serde_json::json!({ "ran": key }).to_string(),
@@ -163,11 +164,11 @@
 
     fn cancel(&self, id: &str) -> Response<Bytes> {
         let mut state = self.lock();
-        let Some(running) = state.running.get(id).cloned() else {
+        let Some(cancel_signal) = state.cancel_signals.get(id).cloned() else {
             return plain(StatusCode::NOT_FOUND, "no such request".to_owned());
         };
         state.count.cancelled += 1;
-        running.notify_one();
+        cancel_signal.notify_one();
         plain(StatusCode::OK, "cancelled".to_owned())
     }
 
@@ -176,34 +177,38 @@
         state.count.in_flight >= state.behavior.slots + state.behavior.queue
     }
 
-    /// Waits for a slot and works; false if the request was shed.
-    async fn work(&self, headers: &HeaderMap) -> bool {
+    /// Executes a request until it ends, is cancelled or reaches its deadline. Returns false if it was
+    /// shed.
+    async fn execute(&self, headers: &HeaderMap) -> bool {
         if self.is_full() {
             return false;
         }
         let id = header::<String>(headers, "x-request-id").unwrap_or_default();
-        let running = Running::start(self, id);
-        let left =
+        let in_flight = InFlight::start(self, id);
+        let remaining =
             header::<u64>(headers, "x-deadline-ms").map_or(Duration::MAX, Duration::from_millis);
         tokio::select! {
-            () = self.serve_one() => {}
-            () = running.cancelled.notified() => {}
-            () = tokio::time::sleep(left.min(Duration::from_secs(60))) => {}
+            () = self.occupy_slot() => {}
+            () = in_flight.cancelled.notified() => {}
+            () = tokio::time::sleep(remaining.min(Duration::from_secs(60))) => {}
         }
         true
     }
 
-    async fn serve_one(&self) {
+    /// Waits for a slot and occupies it for the service time.
+    async fn occupy_slot(&self) {
         let _slot = loop {
-            let ended = self.ended.notified();
-            if let Some(slot) = Slot::take(self) {
+            let freed = self.slot_freed.notified();
+            if let Some(slot) = Slot::occupy(self) {
                 break slot;
             }
-            ended.await;
+            freed.await;
         };
         let time = {
             let state = &mut *self.lock();
-            state.behavior.time(state.count.requests, &mut state.rng)
+            state
+                .behavior
+                .service_time(state.count.requests, &mut state.rng)
         };
         tokio::time::sleep(time).await;
     }
@@ -221,11 +226,11 @@
         let slots = f64::from(state.behavior.slots.max(1));
         let load = f64::from(state.count.in_flight) / slots;
         let load = state.behavior.reported_load.unwrap_or(load);
-        let word = state.behavior.word();
+        let reported_state = state.behavior.reported_state();
         drop(state);
         let mut response = json(status, body.into_bytes());
         let headers = response.headers_mut();
-        headers.insert("x-state", HeaderValue::from_static(word));
+        headers.insert("x-state", HeaderValue::from_static(reported_state));
         if let Ok(load) = format!("{load:.2}").parse() {
             headers.insert("x-load", load);
         }
@@ -237,29 +242,29 @@
     }
 }
 
-/// A request under way; it ends when dropped, also when its connection is cut.
-struct Running<'a> {
+/// A request in flight. Dropping it ends the request, also when its connection is closed.
+struct InFlight<'a> {
     backend: &'a Backend,
     id: String,
     cancelled: Arc<Notify>,
 }
 
-impl<'a> Running<'a> {
+impl<'a> InFlight<'a> {
     fn start(backend: &'a Backend, id: String) -> Self {
         let cancelled: Arc<Notify> = Arc::default();
         let state = &mut *backend.lock();
-        let bears = state.behavior.bears();
+        let capacity = state.behavior.capacity();
         let count = &mut state.count;
         count.requests += 1;
         count.in_flight += 1;
         count.peak = count.peak.max(count.in_flight);
-        let overload = count.in_flight > bears;
-        count.overloads += u64::from(overload);
-        if overload && state.behavior.is_cold() {
+        let is_overload = count.in_flight > capacity;
+        count.overloads += u64::from(is_overload);
+        if is_overload && state.behavior.is_cold() {
             count.falls += 1;
-            state.behavior.fall();
+            state.behavior.restart_cold();
         }
-        state.running.insert(id.clone(), cancelled.clone());
+        state.cancel_signals.insert(id.clone(), cancelled.clone());
         Self {
             backend,
             id,
@@ -268,21 +273,21 @@
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let mut state = self.backend.lock();
         state.count.in_flight -= 1;
-        state.running.remove(&self.id);
+        state.cancel_signals.remove(&self.id);
     }
 }
 
-/// One of the requests that a backend server works on at a time.
+/// One of the server's slots, occupied until it is dropped.
 struct Slot<'a> {
     backend: &'a Backend,
 }
 
 impl<'a> Slot<'a> {
-    fn take(backend: &'a Backend) -> Option<Self> {
+    fn occupy(backend: &'a Backend) -> Option<Self> {
         let mut state = backend.lock();
         if state.busy >= state.behavior.slots {
             return None;
@@ -295,12 +300,12 @@
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
         self.backend.lock().busy -= 1;
-        self.backend.ended.notify_one();
+        self.backend.slot_freed.notify_one();
     }
 }
 
-/// When a backend server that is told to be cold for `time` is warm again.
-pub fn cold_for(time: Duration) -> Option<Instant> {
+/// End of a cold start of this duration that begins now, for [`Behavior::cold_until`].
+pub fn cold_until(time: Duration) -> Option<Instant> {
     Some(Instant::now() + time)
 }
 
--- a/crates/lentillift-standin/src/behavior.rs
+++ b/crates/lentillift-standin/src/behavior.rs
@@ -1,47 +1,47 @@
-//! How a stand-in for a backend server behaves.
+//! Parameters of a simulated backend server: latency, capacity, cold starts and faults.
 
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::time::Duration;
 use std::time::Instant;
 
-/// How many times longer a request takes while the server is cold.
+/// Factor by which requests take longer while the server is cold.
 const COLD_FACTOR: u32 = 5;
 
-/// How a backend server behaves.
+/// The behavior of a simulated backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Behavior {
-    /// Least time that a request takes.
+    /// Minimum service time of a request that is not slow.
     pub latency: Duration,
-    /// Mean of the exponentially distributed time that is added to it.
+    /// Mean of the exponentially distributed time that is added to each service time.
     pub spread: Duration,
-    /// Every so many requests one takes `slow` in place of `latency`; 0 for none.
+    /// One in this many requests takes `slow` in place of `latency`; 0 for none.
     pub slow_every: u64,
-    /// Time that a slow request takes.
+    /// Minimum service time of a slow request.
     pub slow: Duration,
-    /// How many times longer every request takes.
+    /// Factor by which every service time is multiplied.
     pub factor: u32,
-    /// Whether it takes requests and never answers.
+    /// Whether the server accepts requests but never replies.
     pub hung: bool,
-    /// Requests that it works on at a time; more wait, and count as an overload.
+    /// Requests that are executed at a time; further ones wait and count as overloads.
     pub slots: u32,
-    /// Requests that may wait; more are shed.
+    /// Requests that may wait; further ones are shed.
     pub queue: u32,
-    /// Requests that it bears at a time while cold; at more it starts over cold.
+    /// Requests that may be in flight while the server is cold; more restart the cold start.
     pub cold_slots: u32,
-    /// How long a cold start lasts.
+    /// Duration of a cold start.
     pub cold_time: Duration,
-    /// Until when it is cold.
+    /// End of the current cold start; none if the server is warm.
     pub cold_until: Option<Instant>,
-    /// Whether it keeps to itself that it is cold.
-    pub cold_unsaid: bool,
-    /// Whether it says that it is leaving.
+    /// Whether the server reports `ready` while it is cold.
+    pub hides_cold: bool,
+    /// Whether the server reports `draining`, as before it shuts down.
     pub draining: bool,
-    /// The load it reports, when that is not the true one.
+    /// Load that is reported in place of the true one; none to report the true one.
     pub reported_load: Option<f64>,
-    /// Oldest snapshot that it still holds.
+    /// Oldest snapshot that the server still has.
     pub oldest: u64,
-    /// Seed of its random numbers.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
@@ -59,7 +59,7 @@
             cold_slots: 1,
             cold_time: Duration::from_secs(2),
             cold_until: None,
-            cold_unsaid: false,
+            hides_cold: false,
             draining: false,
             reported_load: None,
             oldest: 0,
@@ -73,43 +73,46 @@
         self.cold_until.is_some_and(|until| Instant::now() < until)
     }
 
-    pub(crate) fn fall(&mut self) {
+    /// Starts a new cold start.
+    pub(crate) fn restart_cold(&mut self) {
         self.cold_until = Some(Instant::now() + self.cold_time);
     }
 
-    pub(crate) fn bears(&self) -> u32 {
+    /// Requests that may be in flight without counting as an overload.
+    pub(crate) fn capacity(&self) -> u32 {
         match self.is_cold() {
             true => self.cold_slots,
             false => self.slots,
         }
     }
 
-    pub(crate) fn holds(&self, snapshot: u64) -> bool {
+    /// Whether the server still has a snapshot.
+    pub(crate) fn has_snapshot(&self, snapshot: u64) -> bool {
         snapshot >= self.oldest
     }
 
-    /// The state that it reports.
-    pub(crate) fn word(&self) -> &'static str {
-        match (self.draining, self.is_cold() && !self.cold_unsaid) {
+    /// The state that is reported in the header `x-state`.
+    pub(crate) fn reported_state(&self) -> &'static str {
+        match (self.draining, self.is_cold() && !self.hides_cold) {
             (true, _) => "draining",
             (false, true) => "cold",
             (false, false) => "ready",
         }
     }
 
-    /// How long request number `number` takes.
-    pub(crate) fn time(&self, number: u64, rng: &mut StdRng) -> Duration {
+    /// Service time of a request; with `slow_every`, `number` decides whether the request is slow.
+    pub(crate) fn service_time(&self, number: u64, rng: &mut StdRng) -> Duration {
         if self.hung {
             return Duration::from_secs(3600);
         }
-        let slow = self.slow_every > 0 && number.is_multiple_of(self.slow_every);
-        let least = match slow {
+        let is_slow = self.slow_every > 0 && number.is_multiple_of(self.slow_every);
+        let minimum = match is_slow {
             true => self.slow,
             false => self.latency,
         };
         let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
-        let time = least + self.spread.mul_f64(-uniform.ln());
-        let cold = if self.is_cold() { COLD_FACTOR } else { 1 };
-        time * self.factor * cold
+        let time = minimum + self.spread.mul_f64(-uniform.ln());
+        let cold_factor = if self.is_cold() { COLD_FACTOR } else { 1 };
+        time * self.factor * cold_factor
     }
 }
--- a/crates/lentillift-standin/src/control.rs
+++ b/crates/lentillift-standin/src/control.rs
@@ -1,4 +1,5 @@
-//! The interface by which a load run drives the stand-ins.
+//! HTTP control interface, through which a load run registers hosts, injects faults and reads
+//! counters.
 
 use crate::fault::Fault;
 use crate::world::Running;
@@ -20,21 +21,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A host that a load run makes known to the platform.
+/// A host that a load run registers with the configuration service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The host's name.
+    /// Name of the host, unique in the fleet.
     pub host: String,
-    /// The failure domain it is in.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Where its process listens for the others.
+    /// Address at which its process accepts connections of other hosts.
     pub node: SocketAddr,
 }
 
-/// Serves the control interface until `stop` turns true.
+/// Serves the control interface until `stop` becomes true.
 ///
 /// `POST /hosts` takes a [`Host`], `DELETE /hosts/NAME` removes one, `POST /faults` takes a
-/// [`Fault`], and `GET /counts` returns what each backend server and the platform have seen.
+/// [`Fault`], and `GET /counts` returns the counters of each backend server and of the
+/// configuration service.
 pub async fn serve(running: Running, listener: TcpListener, stop: watch::Receiver<bool>) {
     let running = Arc::new(Mutex::new(running));
     let handler = move |request: Request<Bytes>| {
@@ -58,7 +60,7 @@
             }
             None => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
         },
-        (&Method::POST, "/faults") => fault(running, request.body()),
+        (&Method::POST, "/faults") => apply_fault(running, request.body()),
         (&Method::GET, "/counts") => counts(running),
         _ => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
     }
@@ -74,7 +76,7 @@
     }
 }
 
-fn fault(running: &mut Running, body: &[u8]) -> Response<Bytes> {
+fn apply_fault(running: &mut Running, body: &[u8]) -> Response<Bytes> {
     let fault = serde_json::from_slice::<Fault>(body).map_err(|e| e.to_string());
     match fault.and_then(|fault| fault.apply(running)) {
         Ok(()) => plain(StatusCode::OK, "done".to_owned()),
--- a/crates/lentillift-standin/src/fault.rs
+++ b/crates/lentillift-standin/src/fault.rs
@@ -1,6 +1,6 @@
-//! Faults that a load run brings about on the platform's side.
+//! Faults that a load run injects into the configuration service and the backend servers.
 
-use crate::backend::cold_for;
+use crate::backend::cold_until;
 use crate::world::Running;
 use lentillift_core::id;
 use lentillift_settings::placement::State;
@@ -8,46 +8,46 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A fault, or its end.
+/// A fault, or the end of one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind", deny_unknown_fields)]
 pub enum Fault {
-    /// A backend server takes `factor` times as long; 1 ends it.
+    /// Service times of a backend server are multiplied by `factor`; 1 ends the fault.
     Slow {
         /// The backend server.
         backend: id::Backend,
-        /// How many times as long it takes.
+        /// Factor by which service times are multiplied.
         factor: u32,
     },
-    /// A backend server takes requests and never answers.
+    /// A backend server accepts requests but never replies.
     Hang {
         /// The backend server.
         backend: id::Backend,
     },
-    /// A backend server answers again.
+    /// Ends [`Fault::Slow`], [`Fault::Hang`] and [`Fault::Lie`] at a backend server.
     Heal {
         /// The backend server.
         backend: id::Backend,
     },
-    /// A backend server is in a cold start, and says so or not.
+    /// A backend server begins a cold start, and reports it or not.
     Cold {
         /// The backend server.
         backend: id::Backend,
-        /// How long the cold start lasts, in milliseconds.
+        /// Duration of the cold start, in milliseconds.
         ms: u64,
-        /// Whether it keeps that to itself.
+        /// Whether it reports `ready` in spite of the cold start.
         unsaid: bool,
     },
-    /// A backend server reports a load that is not the true one.
+    /// A backend server reports a wrong load.
     Lie {
         /// The backend server.
         backend: id::Backend,
-        /// The load that it reports.
+        /// Load that it reports in place of the true one.
         load: f64,
     },
     /// A backend server is published as leaving.
     Leave {
-        /// Its service.
+        /// Service of the backend server.
         service: id::Service,
         /// The backend server.
         backend: id::Backend,
@@ -57,37 +57,40 @@
         /// The failure domain.
         domain: id::Domain,
     },
-    /// Operators take a failure domain back into service; its backend servers are cold.
+    /// Operators return a failure domain to service; its backend servers begin a cold start.
     DomainIn {
         /// The failure domain.
         domain: id::Domain,
     },
-    /// A new snapshot is published and the one before the last is dropped.
+    /// A new snapshot is published. Of the older ones only the newest stays published.
     Snapshot {
-        /// The service.
+        /// Service whose snapshot is replaced.
         service: id::Service,
     },
-    /// Nothing changes here; the report gets a mark, for what the script does by itself.
+    /// Changes nothing here. The load run's report shows a mark, for a step that the load run does
+    /// itself.
     Mark {
-        /// What the mark says.
+        /// Text of the mark.
         text: String,
     },
 }
 
-/// How long the backend servers of a returning failure domain are cold.
-const RETURN_COLD: Duration = Duration::from_secs(2);
+/// Duration of the cold start of the backend servers in a failure domain that returns to service.
+const RETURN_COLD_TIME: Duration = Duration::from_secs(2);
 
 impl Fault {
-    /// Brings the fault about.
+    /// Applies the fault to the running stand-ins.
     ///
     /// # Errors
     ///
-    /// Names what does not exist.
+    /// Names the service or backend server that does not exist.
     pub fn apply(&self, running: &mut Running) -> Result<(), String> {
         match self {
-            Self::Slow { backend, factor } => running.set(backend, |b| b.factor = *factor),
-            Self::Hang { backend } => running.set(backend, |b| b.hung = true),
-            Self::Heal { backend } => running.set(backend, |b| {
+            Self::Slow { backend, factor } => {
+                running.change_backend(backend, |b| b.factor = *factor)
+            }
+            Self::Hang { backend } => running.change_backend(backend, |b| b.hung = true),
+            Self::Heal { backend } => running.change_backend(backend, |b| {
                 b.hung = false;
                 b.factor = 1;
                 b.reported_load = None;
@@ -96,19 +99,23 @@
                 backend,
                 ms,
                 unsaid,
-            } => running.set(backend, |b| {
+            } => running.change_backend(backend, |b| {
                 b.cold_time = Duration::from_millis(*ms);
-                b.cold_until = cold_for(b.cold_time);
-                b.cold_unsaid = *unsaid;
+                b.cold_until = cold_until(b.cold_time);
+                b.hides_cold = *unsaid;
             }),
-            Self::Lie { backend, load } => running.set(backend, |b| b.reported_load = Some(*load)),
+            Self::Lie { backend, load } => {
+                running.change_backend(backend, |b| b.reported_load = Some(*load))
+            }
             Self::Leave { service, backend } => {
-                let placed = running.place(service, |placement| {
+                let is_found = running.place(service, |placement| {
                     if let Some(server) = placement.servers.get_mut(backend) {
                         server.state = State::Leaving;
                     }
                 });
-                placed.then_some(()).ok_or(format!("no service {service}"))
+                is_found
+                    .then_some(())
+                    .ok_or(format!("no service {service}"))
             }
             Self::DomainOut { domain } => {
                 running.revise(|config| {
@@ -117,7 +124,7 @@
                 Ok(())
             }
             Self::DomainIn { domain } => {
-                running.chill_domain(domain);
+                running.start_cold_in_domain(domain);
                 running.revise(|config| {
                     config.domains_out.remove(domain);
                 });
@@ -133,22 +140,22 @@
 }
 
 impl Running {
-    fn set(
+    fn change_backend(
         &self,
         backend: &id::Backend,
         change: impl FnOnce(&mut crate::behavior::Behavior),
     ) -> Result<(), String> {
-        let found = self.backends.get(backend);
-        let found = found.ok_or_else(|| format!("no backend server {backend}"))?;
-        found.set(change);
+        let target = self.backends.get(backend);
+        let target = target.ok_or_else(|| format!("no backend server {backend}"))?;
+        target.set(change);
         Ok(())
     }
 
-    fn chill_domain(&self, domain: &id::Domain) {
-        for backend in self.in_domain(domain) {
+    fn start_cold_in_domain(&self, domain: &id::Domain) {
+        for backend in self.backends_in_domain(domain) {
             backend.set(|b| {
-                b.cold_time = RETURN_COLD;
-                b.cold_until = cold_for(RETURN_COLD);
+                b.cold_time = RETURN_COLD_TIME;
+                b.cold_until = cold_until(RETURN_COLD_TIME);
             });
         }
     }
--- a/crates/lentillift-standin/src/lib.rs
+++ b/crates/lentillift-standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Small stand-ins for the platform's configuration service and for backend servers.
+//! Simulated backend servers and a simulated configuration service of the platform, for tests and
+//! load runs.
 //!
-//! They speak the interfaces of `docs/INTERFACES.md` over loopback and misbehave on request.
+//! They implement the interfaces of `docs/INTERFACES.md` on loopback and inject faults on request.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lentillift-standin/src/main.rs
+++ b/crates/lentillift-standin/src/main.rs
@@ -1,4 +1,6 @@
-//! Runs the stand-ins for a platform and its backend servers as one process.
+//! Runs the simulated configuration service and backend servers of a world file in one process.
+//!
+//! Prints the addresses of the configuration service and of the control interface as one JSON line.
 
 #![forbid(unsafe_code)]
 
@@ -10,8 +12,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Worker threads; the stand-ins must not be what a load run measures.
-const WORKERS: usize = 4;
+/// Worker threads of the runtime; enough that the stand-ins do not limit the result of a load run.
+const WORKER_THREADS: usize = 4;
 
 const USAGE: &str = "Usage: lentillift-standin [--policies-off] WORLD";
 
@@ -20,7 +22,7 @@
     options.optflag(
         "",
         "policies-off",
-        "publish a configuration without decisions under load",
+        "publish a configuration with all load policies switched off",
     );
     options.optflag("h", "help", "show this help");
     let matches = options.parse(std::env::args().skip(1))?;
@@ -35,7 +37,7 @@
         world.config.policy.switch_off();
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()?;
     runtime.block_on(run(&world))
--- a/crates/lentillift-standin/src/platform.rs
+++ b/crates/lentillift-standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! A configuration service that can be read and watched.
+//! Simulated configuration service: stores published values and serves reads and watches.
 
 use bytes::Bytes;
 use http::Request;
@@ -20,16 +20,18 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Longest time that a watch waits.
-const MOST_WAIT: Duration = Duration::from_secs(30);
+/// Maximum time that a watch waits for a newer version.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Default)]
 struct Values {
+    /// Version of the index; the newest version of any value.
     version: u64,
+    /// Version and bytes of each value, by key.
     values: BTreeMap<String, (u64, Vec<u8>)>,
 }
 
-/// A configuration service.
+/// A simulated configuration service. Clones share the same values.
 #[derive(Debug, Clone)]
 pub struct Platform {
     values: Arc<Mutex<Values>>,
@@ -48,7 +50,7 @@
 }
 
 impl Platform {
-    /// Publishes a value, as the platform's operators would.
+    /// Publishes a value as JSON, under the next version.
     pub fn publish<T>(&self, key: &str, value: &T)
     where
         T: Serialize,
@@ -57,7 +59,7 @@
         self.publish_bytes(key, value);
     }
 
-    /// Publishes a value as it is, well-formed or not.
+    /// Publishes the bytes of a value unchecked, so that a test can publish a malformed value.
     pub fn publish_bytes(&self, key: &str, value: Vec<u8>) {
         let mut values = self.lock();
         values.version += 1;
@@ -67,12 +69,12 @@
         self.changed.send_replace(version);
     }
 
-    /// Calls that were made so far.
+    /// Number of requests received up to now.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Serves readers until `stop` turns true.
+    /// Serves reads and watches until `stop` becomes true.
     pub async fn serve(self, listener: TcpListener, stop: watch::Receiver<bool>) {
         let handler = move |request: Request<Bytes>| {
             let platform = self.clone();
@@ -99,11 +101,11 @@
     }
 
     async fn index(&self, query: Option<&str>) -> Response<Bytes> {
-        let since = number(query, "since").unwrap_or(0);
-        let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
+        let since = numeric_parameter(query, "since").unwrap_or(0);
+        let wait = Duration::from_millis(numeric_parameter(query, "wait_ms").unwrap_or(0));
         let mut changed = self.changed.subscribe();
         let newer = changed.wait_for(|version| *version > since);
-        let _ = tokio::time::timeout(wait.min(MOST_WAIT), newer).await;
+        let _ = tokio::time::timeout(wait.min(MAX_WATCH_WAIT), newer).await;
         let values = self.lock();
         let keys = values.values.iter();
         let keys: BTreeMap<&str, u64> = keys.map(|(key, (v, _))| (key.as_str(), *v)).collect();
@@ -116,8 +118,8 @@
     }
 }
 
-/// The number behind `name=` in a query string.
-fn number(query: Option<&str>, name: &str) -> Option<u64> {
+/// The value of the numeric parameter `name` in a query string.
+fn numeric_parameter(query: Option<&str>, name: &str) -> Option<u64> {
     let fields = query?.split('&');
     let mut values = fields.filter_map(|field| field.strip_prefix(name)?.strip_prefix('='));
     values.next()?.parse().ok()
--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -1,4 +1,5 @@
-//! A description of the platform's side: its configuration, its data, and its backend servers.
+//! World files, which describe a configuration, the data of its services and their backend servers,
+//! and the stand-ins that run one.
 
 use crate::backend::Backend;
 use crate::behavior::Behavior;
@@ -22,52 +23,53 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// What a service holds and how quick its backend servers are.
+/// Shards and replicas of a service, and service times of its backend servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Data {
-    /// Shards of its data; a service of actions has none.
+    /// Number of shards; 0 for a service of actions.
     #[serde(default)]
     pub shards: u32,
-    /// Backend servers that hold each shard; without shards, those of the service.
+    /// Number of backend servers that have each shard; without shards, of the service.
     pub replicas: u32,
-    /// Backend servers of the service, where they are fewer than one for each replica.
+    /// Number of backend servers of the service, if it is less than one for each replica of each
+    /// shard.
     #[serde(default)]
     pub servers: Option<u32>,
-    /// Documents in each shard.
+    /// Number of documents in each shard, which is the shard's weight.
     #[serde(default)]
     pub documents: u64,
-    /// Least time that a request takes, in microseconds.
+    /// Minimum service time of a request that is not slow, in microseconds.
     pub latency_us: u64,
-    /// Mean of the time that is added to it, in microseconds.
+    /// Mean of the exponentially distributed time that is added, in microseconds.
     #[serde(default)]
     pub spread_us: u64,
-    /// Every so many requests of a backend server one is slow; 0 for none.
+    /// One in this many requests of a backend server is slow; 0 for none.
     #[serde(default)]
     pub slow_every: u64,
-    /// Time that a slow request takes, in microseconds.
+    /// Minimum service time of a slow request, in microseconds.
     #[serde(default)]
     pub slow_us: u64,
 }
 
-/// A description of the platform's side.
+/// The contents of a world file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct World {
-    /// The configuration that is published first.
+    /// The first configuration that is published.
     pub config: Config,
-    /// What each service holds.
+    /// Data and backend servers of each service.
     pub data: BTreeMap<id::Service, Data>,
 }
 
-/// The platform's side, running.
+/// The running stand-ins of a world.
 #[derive(Debug)]
 pub struct Running {
     /// The configuration service.
     pub platform: Platform,
-    /// Where the configuration service listens.
+    /// Address of the configuration service.
     pub address: SocketAddr,
-    /// The backend servers by name.
+    /// The backend servers of all services, by name.
     pub backends: BTreeMap<id::Backend, Backend>,
     config: Config,
     roster: Roster,
@@ -79,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// When the system has no more ports.
+    /// If no port is free, or `data` names a service that is not in the configuration.
     pub async fn start(&self, stop: &watch::Receiver<bool>) -> io::Result<Running> {
         let platform = Platform::default();
         let listener = bind().await?;
@@ -99,7 +101,11 @@
         };
         for (name, data) in &self.data {
             let service = self.config.services.get(name);
-            let service = service.ok_or_else(|| io::Error::other(format!("no service {name}")))?;
+            let service = service.ok_or_else(|| {
+                io::Error::other(format!(
+                    "data: service `{name}` is not in the configuration"
+                ))
+            })?;
             self.start_service(&mut running, name, service, data, stop)
                 .await?;
         }
@@ -107,6 +113,7 @@
         Ok(running)
     }
 
+    /// Starts the backend servers of a service and publishes their placement.
     async fn start_service(
         &self,
         running: &mut Running,
@@ -160,7 +167,8 @@
         self.servers.unwrap_or(self.shards.max(1) * self.replicas)
     }
 
-    /// The shard map of a snapshot, with the replicas of a shard in neighbouring servers.
+    /// The shard map of a snapshot; none without shards. The replicas of a shard are on servers with
+    /// consecutive numbers.
     fn map(&self, service: &id::Service, snapshot: id::Snapshot) -> Option<Map> {
         let replicas = |shard| {
             let first = shard * self.replicas;
@@ -180,7 +188,7 @@
 }
 
 impl Running {
-    /// Publishes a host, in place of one with the same name.
+    /// Publishes a roster with this host, which replaces a host of the same name.
     pub fn add_host(&mut self, name: &str, address: SocketAddr, domain: &str) {
         let entry = roster::Entry {
             address,
@@ -191,14 +199,14 @@
         self.publish_roster();
     }
 
-    /// Publishes that a host is gone.
+    /// Publishes a roster without this host.
     pub fn remove_host(&mut self, name: &str) {
         self.roster.hosts.remove(name);
         self.publish_roster();
     }
 
-    /// The backend servers in a failure domain.
-    pub fn in_domain(&self, domain: &id::Domain) -> impl Iterator<Item = &Backend> {
+    /// The backend servers of all services in a failure domain.
+    pub fn backends_in_domain(&self, domain: &id::Domain) -> impl Iterator<Item = &Backend> {
         let servers = self.placements.values().flat_map(|p| &p.servers);
         servers
             .filter(move |(_, server)| server.domain == *domain)
@@ -217,7 +225,7 @@
         self.platform.publish("config", &self.config);
     }
 
-    /// Publishes a changed placement under the next revision; false if there is no such service.
+    /// Publishes a changed placement under the next revision; false if the service does not exist.
     pub fn place(&mut self, service: &str, change: impl FnOnce(&mut Placement)) -> bool {
         let Some(placement) = self.placements.get_mut(service) else {
             return false;
@@ -229,7 +237,7 @@
         true
     }
 
-    /// Publishes a new snapshot of a service and drops the one before the last.
+    /// Publishes a new snapshot of a service. Of the older ones only the newest stays published.
     pub fn next_snapshot(&mut self, service: &str) {
         self.place(service, |placement| {
             if let Some(newest) = placement.maps.first().cloned() {
