--- a/crates/lentillift-caller/src/call.rs
+++ b/crates/lentillift-caller/src/call.rs
@@ -16,7 +16,7 @@
         /// Number of the request, unique in this process.
         request: id::Request,
         /// The parsed query.
-        ask: SearchRequest,
+        query: SearchRequest,
         /// Receives the answer or the refusal.
         reply: oneshot::Sender<Result<Answer, Refusal>>,
     },
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -94,7 +94,7 @@
         let (reply, answer) = oneshot::channel();
         let call = Call::Query {
             request,
-            ask,
+            query: ask,
             reply,
         };
         let mut guard = DisconnectGuard {
--- a/crates/lentilliftd/src/entry.rs
+++ b/crates/lentilliftd/src/entry.rs
@@ -114,7 +114,7 @@
         match input {
             Input::Call(Call::Query {
                 request,
-                ask,
+                query: ask,
                 reply,
             }) => {
                 let pending = PendingQuery {
