--- a/crates/lentillift-trace/src/core.rs
+++ b/crates/lentillift-trace/src/core.rs
@@ -1,7 +1,7 @@
 //! The cores that can be recorded and replayed.
 
+use crate::line::CoreKind;
 use crate::line::Head;
-use crate::line::Part;
 use lentillift_core::time::Time;
 use lentillift_entry::core::Entry;
 use lentillift_once::core::Once;
@@ -19,7 +19,7 @@
     type Effect: Serialize;
 
     /// The core, as the head of its traces names it.
-    const PART: Part;
+    const KIND: CoreKind;
 
     /// Creates the core in the state in which the process described by `head` starts it.
     fn start(head: &Head) -> Self;
@@ -38,7 +38,7 @@
     type Event = lentillift_entry::core::Event;
     type Effect = lentillift_entry::core::Effect;
 
-    const PART: Part = Part::Entry;
+    const KIND: CoreKind = CoreKind::Entry;
 
     fn start(head: &Head) -> Self {
         let entry = Self::new(StdRng::seed_from_u64(head.seed));
@@ -65,7 +65,7 @@
     type Event = lentillift_once::event::Event;
     type Effect = lentillift_once::event::Effect;
 
-    const PART: Part = Part::Once;
+    const KIND: CoreKind = CoreKind::Once;
 
     fn start(head: &Head) -> Self {
         let options = home::Options::default();
--- a/crates/lentillift-trace/src/line.rs
+++ b/crates/lentillift-trace/src/line.rs
@@ -13,7 +13,7 @@
 /// The core of a process that a trace records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Part {
+pub enum CoreKind {
     /// The core that serves queries of callers.
     Entry,
     /// The core that serves actions, which run at most once.
@@ -27,7 +27,7 @@
     /// Version of the trace format, [`VERSION`].
     pub trace: u32,
     /// The core that the trace records.
-    pub part: Part,
+    pub part: CoreKind,
     /// Name of the host that the process ran on.
     pub host: id::Host,
     /// Failure domain of the host; none if it is not known.
--- a/crates/lentillift-trace/src/replay.rs
+++ b/crates/lentillift-trace/src/replay.rs
@@ -1,9 +1,9 @@
 //! Replay of a trace in virtual time.
 
 use crate::core::Core;
+use crate::line::CoreKind;
 use crate::line::Head;
 use crate::line::Line;
-use crate::line::Part;
 use crate::line::VERSION;
 use crate::names::Names;
 use lentillift_core::error::Error;
@@ -55,8 +55,8 @@
         parsed.push(line);
     }
     let run = match head.part {
-        Part::Entry => run::<Entry<StdRng>>,
-        Part::Once => run::<Once<StdRng>>,
+        CoreKind::Entry => run::<Entry<StdRng>>,
+        CoreKind::Once => run::<Once<StdRng>>,
     };
     run(&head, &parsed).map_err(|(index, e)| fail(index + 2, &e))
 }
--- a/crates/lentilliftd/src/trace.rs
+++ b/crates/lentilliftd/src/trace.rs
@@ -23,7 +23,7 @@
 {
     let head = Head {
         trace: VERSION,
-        part: C::PART,
+        part: C::KIND,
         host: settings.host.clone(),
         domain: Some(settings.domain.clone()),
         incarnation,
@@ -32,7 +32,7 @@
         about: String::new(),
     };
     let recorder = directory.and_then(|directory| {
-        let name = format!("{}-{:?}.jsonl", settings.host, C::PART);
+        let name = format!("{}-{:?}.jsonl", settings.host, C::KIND);
         let path = directory.join(name.to_lowercase());
         Recorder::start(&path, &head)
             .inspect_err(|error| warn!(%error, "cannot record a decision trace"))
