--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -78,7 +78,7 @@
 impl Dispatcher {
     async fn handle(&self, request: Request<Bytes>) -> Response<Bytes> {
         match parse::route(&request) {
-            Ok(Route::Query(ask)) => self.query(ask).await,
+            Ok(Route::Query(query)) => self.query(query).await,
             Ok(Route::Issue { service, caller }) => self.issue(service, caller).await,
             Ok(Route::Action(submit)) => self.action(submit).await,
             Err(RouteError::NoRoute) => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
@@ -89,12 +89,12 @@
         }
     }
 
-    async fn query(&self, ask: SearchRequest) -> Response<Bytes> {
+    async fn query(&self, query: SearchRequest) -> Response<Bytes> {
         let request = self.next_request.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         let call = Call::Query {
             request,
-            query: ask,
+            query,
             reply,
         };
         let mut guard = DisconnectGuard {
--- a/crates/lentillift-caller/tests/fuzz.rs
+++ b/crates/lentillift-caller/tests/fuzz.rs
@@ -74,9 +74,9 @@
     #[test]
     fn any_request_is_parsed_or_rejected_with_a_reason(request in request()) {
         match parse::route(&request) {
-            Ok(Route::Query(ask)) => {
-                prop_assert!((0.0..=1.0).contains(&ask.least_coverage));
-                prop_assert!(ask.limit <= 1000);
+            Ok(Route::Query(query)) => {
+                prop_assert!((0.0..=1.0).contains(&query.least_coverage));
+                prop_assert!(query.limit <= 1000);
             }
             Ok(_) | Err(RouteError::NoRoute | RouteError::Method) => {}
             Err(RouteError::Refused(refusal)) => {
@@ -96,8 +96,8 @@
         .header(parse::ALLOWANCE, u64::MAX.to_string())
         .body(Bytes::from_static(b"{}"))
         .expect("a request");
-    let Ok(Route::Query(ask)) = parse::route(&request) else {
+    let Ok(Route::Query(query)) = parse::route(&request) else {
         panic!("a query");
     };
-    assert_eq!(ask.allowance, Duration::from_millis(u64::MAX));
+    assert_eq!(query.allowance, Duration::from_millis(u64::MAX));
 }
