--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -26,7 +26,7 @@
 /// Shards and replicas of a service, and service times of its backend servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Data {
+pub struct ServiceData {
     /// Number of shards; 0 for a service of actions.
     #[serde(default)]
     pub shards: u32,
@@ -59,7 +59,7 @@
     /// The first configuration that is published.
     pub config: Config,
     /// Data and backend servers of each service.
-    pub data: BTreeMap<id::Service, Data>,
+    pub data: BTreeMap<id::Service, ServiceData>,
 }
 
 /// The running stand-ins of a world.
@@ -119,7 +119,7 @@
         running: &mut Running,
         name: &id::Service,
         service: &Service,
-        data: &Data,
+        data: &ServiceData,
         stop: &watch::Receiver<bool>,
     ) -> io::Result<()> {
         let domains: Vec<&id::Domain> = self.config.domains.iter().collect();
@@ -149,7 +149,7 @@
     }
 }
 
-impl Data {
+impl ServiceData {
     fn behavior(&self, service: &Service, number: u32) -> Behavior {
         Behavior {
             latency: Duration::from_micros(self.latency_us),
--- a/crates/lentillift/src/demo/fleet.rs
+++ b/crates/lentillift/src/demo/fleet.rs
@@ -5,8 +5,8 @@
 use lentillift_settings::config::Config;
 use lentillift_settings::config::Kind;
 use lentillift_settings::daemon::Settings;
-use lentillift_standin::world::Data;
 use lentillift_standin::world::Running;
+use lentillift_standin::world::ServiceData;
 use lentillift_standin::world::World;
 use lentilliftd::daemon::Daemon;
 use lentilliftd::daemon::Sockets;
@@ -74,13 +74,13 @@
     fn world(&self) -> anyhow::Result<World> {
         let config: Config = serde_json::from_str(self.config).context(self.name)?;
         let services = config.services.iter();
-        let data: BTreeMap<id::Service, Data> = services
+        let data: BTreeMap<id::Service, ServiceData> = services
             .map(|(name, service)| (name.clone(), self.data(name, service.kind)))
             .collect();
         Ok(World { config, data })
     }
 
-    fn data(&self, service: &str, kind: Kind) -> Data {
+    fn data(&self, service: &str, kind: Kind) -> ServiceData {
         let large = self.large.iter().find(|(name, _)| *name == service);
         let servers = large.map_or(2, |(_, servers)| *servers);
         let shards = match kind {
@@ -88,7 +88,7 @@
             Kind::Search if service == self.search => self.shards,
             Kind::Search => 1,
         };
-        Data {
+        ServiceData {
             shards,
             replicas: 2,
             servers: Some(servers),
