--- a/crates/lentillift-standin/src/control.rs
+++ b/crates/lentillift-standin/src/control.rs
@@ -2,7 +2,7 @@
 //! counters.
 
 use crate::fault::Fault;
-use crate::world::Running;
+use crate::world::RunningWorld;
 use bytes::Bytes;
 use http::Method;
 use http::Request;
@@ -37,7 +37,7 @@
 /// `POST /hosts` takes a [`Host`], `DELETE /hosts/NAME` removes one, `POST /faults` takes a
 /// [`Fault`], and `GET /counts` returns the counters of each backend server and of the
 /// configuration service.
-pub async fn serve(running: Running, listener: TcpListener, stop: watch::Receiver<bool>) {
+pub async fn serve(running: RunningWorld, listener: TcpListener, stop: watch::Receiver<bool>) {
     let running = Arc::new(Mutex::new(running));
     let handler = move |request: Request<Bytes>| {
         let running = running.clone();
@@ -49,7 +49,7 @@
     listener::serve(listener, Options::default(), stop, handler).await;
 }
 
-fn handle(running: &mut Running, request: &Request<Bytes>) -> Response<Bytes> {
+fn handle(running: &mut RunningWorld, request: &Request<Bytes>) -> Response<Bytes> {
     let path = request.uri().path();
     match (request.method(), path) {
         (&Method::POST, "/hosts") => add_host(running, request.body()),
@@ -66,7 +66,7 @@
     }
 }
 
-fn add_host(running: &mut Running, body: &[u8]) -> Response<Bytes> {
+fn add_host(running: &mut RunningWorld, body: &[u8]) -> Response<Bytes> {
     match serde_json::from_slice::<Host>(body) {
         Ok(host) => {
             running.add_host(&host.host, host.node, &host.domain);
@@ -76,7 +76,7 @@
     }
 }
 
-fn apply_fault(running: &mut Running, body: &[u8]) -> Response<Bytes> {
+fn apply_fault(running: &mut RunningWorld, body: &[u8]) -> Response<Bytes> {
     let fault = serde_json::from_slice::<Fault>(body).map_err(|e| e.to_string());
     match fault.and_then(|fault| fault.apply(running)) {
         Ok(()) => plain(StatusCode::OK, "done".to_owned()),
@@ -84,7 +84,7 @@
     }
 }
 
-fn counts(running: &Running) -> Response<Bytes> {
+fn counts(running: &RunningWorld) -> Response<Bytes> {
     let backends = running.backends.iter();
     let backends: serde_json::Map<_, _> = backends
         .map(|(name, backend)| {
--- a/crates/lentillift-standin/src/fault.rs
+++ b/crates/lentillift-standin/src/fault.rs
@@ -1,7 +1,7 @@
 //! Faults that a load run injects into the configuration service and the backend servers.
 
 use crate::backend::cold_until;
-use crate::world::Running;
+use crate::world::RunningWorld;
 use lentillift_core::id;
 use lentillift_settings::placement::State;
 use serde::Deserialize;
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// Names the service or backend server that does not exist.
-    pub fn apply(&self, running: &mut Running) -> Result<(), String> {
+    pub fn apply(&self, running: &mut RunningWorld) -> Result<(), String> {
         match self {
             Self::Slow { backend, factor } => {
                 running.change_backend(backend, |b| b.factor = *factor)
@@ -139,7 +139,7 @@
     }
 }
 
-impl Running {
+impl RunningWorld {
     fn change_backend(
         &self,
         backend: &id::Backend,
--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -64,7 +64,7 @@
 
 /// The running stand-ins of a world.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningWorld {
     /// The configuration service.
     pub platform: Platform,
     /// Address of the configuration service.
@@ -82,12 +82,12 @@
     /// # Errors
     ///
     /// If no port is free, or `data` names a service that is not in the configuration.
-    pub async fn start(&self, stop: &watch::Receiver<bool>) -> io::Result<Running> {
+    pub async fn start(&self, stop: &watch::Receiver<bool>) -> io::Result<RunningWorld> {
         let platform = Platform::default();
         let listener = bind().await?;
         let address = listener.local_addr()?;
         tokio::spawn(platform.clone().serve(listener, stop.clone()));
-        let mut running = Running {
+        let mut running = RunningWorld {
             platform,
             address,
             backends: BTreeMap::new(),
@@ -116,7 +116,7 @@
     /// Starts the backend servers of a service and publishes their placement.
     async fn start_service(
         &self,
-        running: &mut Running,
+        running: &mut RunningWorld,
         name: &id::Service,
         service: &Service,
         data: &ServiceData,
@@ -187,7 +187,7 @@
     }
 }
 
-impl Running {
+impl RunningWorld {
     /// Publishes a roster with this host, which replaces a host of the same name.
     pub fn add_host(&mut self, name: &str, address: SocketAddr, domain: &str) {
         let entry = roster::Entry {
--- a/crates/lentillift/src/demo/fleet.rs
+++ b/crates/lentillift/src/demo/fleet.rs
@@ -5,7 +5,7 @@
 use lentillift_settings::config::Config;
 use lentillift_settings::config::Kind;
 use lentillift_settings::daemon::Settings;
-use lentillift_standin::world::Running;
+use lentillift_standin::world::RunningWorld;
 use lentillift_standin::world::ServiceData;
 use lentillift_standin::world::World;
 use lentilliftd::daemon::Daemon;
@@ -65,7 +65,7 @@
     /// Where operators connect, one address for each process.
     pub(crate) operators: Vec<SocketAddr>,
     /// The platform's side.
-    pub(crate) running: Running,
+    pub(crate) running: RunningWorld,
     daemons: Vec<Daemon>,
     _stop: watch::Sender<bool>,
 }
@@ -148,7 +148,7 @@
 }
 
 /// Makes every tenth request of one backend server slow.
-fn slow_one(running: &Running, board: &Board) -> anyhow::Result<()> {
+fn slow_one(running: &RunningWorld, board: &Board) -> anyhow::Result<()> {
     let name = format!("{}-0", board.search);
     let backend = running.backends.get(name.as_str()).context(name)?;
     backend.set(|behavior| {
@@ -159,7 +159,7 @@
 }
 
 /// Publishes an address where nobody listens, as with a replica that died: port 1 of loopback.
-fn lose_one(running: &mut Running, board: &Board) -> anyhow::Result<()> {
+fn lose_one(running: &mut RunningWorld, board: &Board) -> anyhow::Result<()> {
     let name = format!("{}-1", board.search);
     let placed = running.place(board.search, |placement| {
         if let Some(server) = placement.servers.get_mut(name.as_str()) {
