--- a/crates/lentillift-standin/src/fault.rs
+++ b/crates/lentillift-standin/src/fault.rs
@@ -108,7 +108,7 @@
                 running.change_backend(backend, |b| b.reported_load = Some(*load))
             }
             Self::Leave { service, backend } => {
-                let is_found = running.place(service, |placement| {
+                let is_found = running.update_placement(service, |placement| {
                     if let Some(server) = placement.servers.get_mut(backend) {
                         server.state = State::Leaving;
                     }
--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -226,7 +226,7 @@
     }
 
     /// Publishes a changed placement under the next revision; false if the service does not exist.
-    pub fn place(&mut self, service: &str, change: impl FnOnce(&mut Placement)) -> bool {
+    pub fn update_placement(&mut self, service: &str, change: impl FnOnce(&mut Placement)) -> bool {
         let Some(placement) = self.placements.get_mut(service) else {
             return false;
         };
@@ -239,7 +239,7 @@
 
     /// Publishes a new snapshot of a service. Of the older ones only the newest stays published.
     pub fn next_snapshot(&mut self, service: &str) {
-        self.place(service, |placement| {
+        self.update_placement(service, |placement| {
             if let Some(newest) = placement.maps.first().cloned() {
                 let next = Map {
                     snapshot: newest.snapshot + 1,
--- a/crates/lentillift/src/demo/fleet.rs
+++ b/crates/lentillift/src/demo/fleet.rs
@@ -161,7 +161,7 @@
 /// Publishes an address where nobody listens, as with a replica that died: port 1 of loopback.
 fn lose_one(running: &mut RunningWorld, board: &Board) -> anyhow::Result<()> {
     let name = format!("{}-1", board.search);
-    let placed = running.place(board.search, |placement| {
+    let placed = running.update_placement(board.search, |placement| {
         if let Some(server) = placement.servers.get_mut(name.as_str()) {
             server.address = SocketAddr::from(([127, 0, 0, 1], 1));
         }
