--- a/crates/lentillift-standin/src/fault.rs
+++ b/crates/lentillift-standin/src/fault.rs
@@ -118,20 +118,20 @@
                     .ok_or(format!("no service {service}"))
             }
             Self::DomainOut { domain } => {
-                running.revise(|config| {
+                running.update_config(|config| {
                     config.domains_out.insert(domain.clone());
                 });
                 Ok(())
             }
             Self::DomainIn { domain } => {
                 running.start_cold_in_domain(domain);
-                running.revise(|config| {
+                running.update_config(|config| {
                     config.domains_out.remove(domain);
                 });
                 Ok(())
             }
             Self::Snapshot { service } => {
-                running.next_snapshot(service);
+                running.publish_next_snapshot(service);
                 Ok(())
             }
             Self::Mark { .. } => Ok(()),
--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -219,7 +219,7 @@
     }
 
     /// Publishes a changed configuration under the next revision.
-    pub fn revise(&mut self, change: impl FnOnce(&mut Config)) {
+    pub fn update_config(&mut self, change: impl FnOnce(&mut Config)) {
         change(&mut self.config);
         self.config.revision += 1;
         self.platform.publish("config", &self.config);
@@ -238,7 +238,7 @@
     }
 
     /// Publishes a new snapshot of a service. Of the older ones only the newest stays published.
-    pub fn next_snapshot(&mut self, service: &str) {
+    pub fn publish_next_snapshot(&mut self, service: &str) {
         self.update_placement(service, |placement| {
             if let Some(newest) = placement.maps.first().cloned() {
                 let next = Map {
