--- a/crates/lentillift-backend/src/client.rs
+++ b/crates/lentillift-backend/src/client.rs
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Whether the address refuses connections, as it does after the backend server's process ended.
+    /// Whether the address refuses connections, as it does after the backend server's process
+    /// ended.
     fn refuses_connections(&self) -> bool {
         let opened = TcpStream::connect_timeout(&self.address, LISTEN_CHECK_TIMEOUT);
         opened.is_err_and(|e| e.kind() == ErrorKind::ConnectionRefused)
--- a/crates/lentillift-backend/src/reply.rs
+++ b/crates/lentillift-backend/src/reply.rs
@@ -29,8 +29,8 @@
 ///
 /// # Errors
 ///
-/// If the body is not JSON of the expected shape, a score is not finite, or the snapshot or shard is
-/// not the requested one. The error describes the mismatch.
+/// If the body is not JSON of the expected shape, a score is not finite, or the snapshot or shard
+/// is not the requested one. The error describes the mismatch.
 pub fn hits(body: &[u8], snapshot: id::Snapshot, shard: id::Shard) -> Result<Vec<Hit>, String> {
     let body: Body<'_> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if (body.snapshot, body.shard) != (snapshot, shard) {
--- a/crates/lentillift-backend/tests/contract.rs
+++ b/crates/lentillift-backend/tests/contract.rs
@@ -1,7 +1,7 @@
 //! Compares the result that the client reports with the requests that reached a backend server.
 //!
-//! The server uses raw TCP, so that it can close a connection at any point, and records the requests
-//! that it has read completely: only those can have run.
+//! The server uses raw TCP, so that it can close a connection at any point, and records the
+//! requests that it has read completely: only those can have run.
 
 use lentillift_backend::client::Client;
 use lentillift_backend::client::Options;
@@ -267,8 +267,8 @@
     1
 );
 
-/// The server hangs after it read the request. The result must come at the deadline, with an unknown
-/// outcome.
+/// The server hangs after it read the request. The result must come at the deadline, with an
+/// unknown outcome.
 #[test]
 fn no_reply_in_time() {
     let (result, _) = send_to_server(&action(), ServerAct::Hang, Duration::from_millis(100));
@@ -294,8 +294,8 @@
     assert!(received.lock().expect("lock").requests.is_empty());
 }
 
-/// The server closes an idle connection while the next request is written to it. If the client library
-/// retried by itself, a request that the server had already read would run twice.
+/// The server closes an idle connection while the next request is written to it. If the client
+/// library retried by itself, a request that the server had already read would run twice.
 #[test]
 fn a_request_on_a_closed_idle_connection_is_not_retried() {
     let acts = vec![
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -136,8 +136,8 @@
             reply,
         };
         let _ = self.calls.send(call).await;
-        // Unknown even if the call was never received: the action may have been sent through another
-        // host before, under the same id.
+        // Unknown even if the call was never received: the action may have been sent through
+        // another host before, under the same id.
         let ending = |_| {
             ActionResponse::unknown("the process is ending; retry at another host with the same id")
         };
--- a/crates/lentillift-caller/tests/contract.rs
+++ b/crates/lentillift-caller/tests/contract.rs
@@ -241,8 +241,8 @@
     assert!(reply.head.contains("x-outcome: unknown"), "{}", reply.head);
 }
 
-/// The outcome of an action shows in the status and in a header, so that a caller need not parse the
-/// backend server's reply to know whether it ran.
+/// The outcome of an action shows in the status and in a header, so that a caller need not parse
+/// the backend server's reply to know whether it ran.
 #[tokio::test]
 async fn each_outcome_has_its_own_status() {
     for (outcome, status) in [
--- a/crates/lentillift-caller/tests/fuzz.rs
+++ b/crates/lentillift-caller/tests/fuzz.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// A caller with a faulty clock or arithmetic sends an allowance of half a million years. Adding it to
-/// the current time must not overflow; the configured bounds reject it later.
+/// A caller with a faulty clock or arithmetic sends an allowance of half a million years. Adding it
+/// to the current time must not overflow; the configured bounds reject it later.
 #[test]
 fn a_huge_allowance_parses_without_overflow() {
     let request = Request::post("/v1/services/names/query")
--- a/crates/lentillift-http/tests/bounds.rs
+++ b/crates/lentillift-http/tests/bounds.rs
@@ -51,7 +51,7 @@
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         let mut reply = Vec::new();
-        // A reset instead of a close also ends the exchange.
+        // An error is ignored, since a connection that is reset is also closed.
         let _ = stream.read_to_end(&mut reply).await;
         String::from_utf8(reply).unwrap()
     }
@@ -71,8 +71,8 @@
     }
 }
 
-/// Defines cases: the bytes that a peer sends, the start of the response, and the number of requests
-/// that reach the handler.
+/// Defines cases: the bytes that a peer sends, the start of the response, and the number of
+/// requests that reach the handler.
 macro_rules! cases {
     ($($name:ident: $bytes:expr => $status:expr, $handled:expr;)+) => {
         $(
@@ -127,7 +127,7 @@
 }
 
 /// The process is stopped while it receives a request's body. The peer must still get its response,
-/// and the listener ends after it.
+/// and the listener stops after that.
 #[tokio::test]
 async fn a_stop_finishes_requests_in_flight() {
     let options = Options {
--- a/crates/lentillift-standin/src/backend.rs
+++ b/crates/lentillift-standin/src/backend.rs
@@ -177,8 +177,8 @@
         state.count.in_flight >= state.behavior.slots + state.behavior.queue
     }
 
-    /// Executes a request until it ends, is cancelled or reaches its deadline. Returns false if it was
-    /// shed.
+    /// Executes a request until it ends, is cancelled or reaches its deadline. Returns false if it
+    /// was shed.
     async fn execute(&self, headers: &HeaderMap) -> bool {
         if self.is_full() {
             return false;
--- a/crates/lentillift-standin/src/world.rs
+++ b/crates/lentillift-standin/src/world.rs
@@ -1,5 +1,7 @@
-//! World files, which describe a configuration, the data of its services and their backend servers,
-//! and the stand-ins that run one.
+//! World files and the stand-ins that they describe.
+//!
+//! A world file has a configuration, and the shards, replicas and service times of each service in
+//! it.
 
 use crate::backend::Backend;
 use crate::behavior::Behavior;
@@ -167,8 +169,8 @@
         self.servers.unwrap_or(self.shards.max(1) * self.replicas)
     }
 
-    /// The shard map of a snapshot; none without shards. The replicas of a shard are on servers with
-    /// consecutive numbers.
+    /// The shard map of a snapshot; none without shards. The replicas of a shard are on servers
+    /// with consecutive numbers.
     fn map(&self, service: &id::Service, snapshot: id::Snapshot) -> Option<Map> {
         let replicas = |shard| {
             let first = shard * self.replicas;
