--- a/crates/lentillift-standin/src/control.rs
+++ b/crates/lentillift-standin/src/control.rs
@@ -1,7 +1,8 @@
-//! The interface by which a load run drives the stand-ins.
+//! HTTP control interface, through which a load run registers hosts, injects faults and reads
+//! counters.
 
 use crate::fault::Fault;
-use crate::world::Running;
+use crate::world::RunningWorld;
 use bytes::Bytes;
 use http::Method;
 use http::Request;
@@ -20,22 +21,23 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A host that a load run makes known to the platform.
+/// A host that a load run registers with the configuration service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// The host's name.
+    /// Name of the host, unique in the fleet.
     pub host: String,
-    /// The failure domain it is in.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Where its process listens for the others.
+    /// Address at which its process accepts connections of other hosts.
     pub node: SocketAddr,
 }
 
-/// Serves the control interface until `stop` turns true.
+/// Serves the control interface until `stop` becomes true.
 ///
 /// `POST /hosts` takes a [`Host`], `DELETE /hosts/NAME` removes one, `POST /faults` takes a
-/// [`Fault`], and `GET /counts` returns what each backend server and the platform have seen.
-pub async fn serve(running: Running, listener: TcpListener, stop: watch::Receiver<bool>) {
+/// [`Fault`], and `GET /counts` returns the counters of each backend server and of the
+/// configuration service.
+pub async fn serve(running: RunningWorld, listener: TcpListener, stop: watch::Receiver<bool>) {
     let running = Arc::new(Mutex::new(running));
     let handler = move |request: Request<Bytes>| {
         let running = running.clone();
@@ -47,7 +49,7 @@
     listener::serve(listener, Options::default(), stop, handler).await;
 }
 
-fn handle(running: &mut Running, request: &Request<Bytes>) -> Response<Bytes> {
+fn handle(running: &mut RunningWorld, request: &Request<Bytes>) -> Response<Bytes> {
     let path = request.uri().path();
     match (request.method(), path) {
         (&Method::POST, "/hosts") => add_host(running, request.body()),
@@ -58,13 +60,13 @@
             }
             None => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
         },
-        (&Method::POST, "/faults") => fault(running, request.body()),
+        (&Method::POST, "/faults") => apply_fault(running, request.body()),
         (&Method::GET, "/counts") => counts(running),
         _ => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
     }
 }
 
-fn add_host(running: &mut Running, body: &[u8]) -> Response<Bytes> {
+fn add_host(running: &mut RunningWorld, body: &[u8]) -> Response<Bytes> {
     match serde_json::from_slice::<Host>(body) {
         Ok(host) => {
             running.add_host(&host.host, host.node, &host.domain);
@@ -74,7 +76,7 @@
     }
 }
 
-fn fault(running: &mut Running, body: &[u8]) -> Response<Bytes> {
+fn apply_fault(running: &mut RunningWorld, body: &[u8]) -> Response<Bytes> {
     let fault = serde_json::from_slice::<Fault>(body).map_err(|e| e.to_string());
     match fault.and_then(|fault| fault.apply(running)) {
         Ok(()) => plain(StatusCode::OK, "done".to_owned()),
@@ -82,7 +84,7 @@
     }
 }
 
-fn counts(running: &Running) -> Response<Bytes> {
+fn counts(running: &RunningWorld) -> Response<Bytes> {
     let backends = running.backends.iter();
     let backends: serde_json::Map<_, _> = backends
         .map(|(name, backend)| {
--- a/crates/lentillift-trace/src/core.rs
+++ b/crates/lentillift-trace/src/core.rs
@@ -1,7 +1,7 @@
-//! The parts that can be recorded and replayed.
+//! The cores that can be recorded and replayed.
 
+use crate::line::CoreKind;
 use crate::line::Head;
-use crate::line::Part;
 use lentillift_core::time::Time;
 use lentillift_entry::core::Entry;
 use lentillift_once::core::Once;
@@ -11,26 +11,26 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A part that takes timed events and returns effects.
+/// A state machine without I/O that takes timed events and returns effects.
 pub trait Core {
-    /// What happens to it.
+    /// An input, such as a request, a reply or a tick.
     type Event: Serialize + DeserializeOwned;
-    /// What it wants done.
+    /// An action that the process must carry out, such as sending a sub-request.
     type Effect: Serialize;
 
-    /// Which part it is.
-    const PART: Part;
+    /// The core, as the head of its traces names it.
+    const KIND: CoreKind;
 
-    /// Makes the part as a process of that head starts it.
+    /// Creates the core in the state in which the process described by `head` starts it.
     fn start(head: &Head) -> Self;
 
-    /// Takes in an event and says what to do about it.
+    /// Processes an event and returns its effects.
     fn handle(&mut self, now: Time, event: Self::Event) -> Vec<Self::Effect>;
 
-    /// When a tick is next due.
+    /// Time at which the next tick is due; none if no timer is set.
     fn next_wake(&self) -> Option<Time>;
 
-    /// The event that tells that time has passed.
+    /// The event that makes the core run the timers that are due.
     fn tick() -> Self::Event;
 }
 
@@ -38,7 +38,7 @@
     type Event = lentillift_entry::core::Event;
     type Effect = lentillift_entry::core::Effect;
 
-    const PART: Part = Part::Entry;
+    const KIND: CoreKind = CoreKind::Entry;
 
     fn start(head: &Head) -> Self {
         let entry = Self::new(StdRng::seed_from_u64(head.seed));
@@ -65,7 +65,7 @@
     type Event = lentillift_once::event::Event;
     type Effect = lentillift_once::event::Effect;
 
-    const PART: Part = Part::Once;
+    const KIND: CoreKind = CoreKind::Once;
 
     fn start(head: &Head) -> Self {
         let options = home::Options::default();
--- a/crates/lentillift/src/demo/fleet.rs
+++ b/crates/lentillift/src/demo/fleet.rs
@@ -5,8 +5,8 @@
 use lentillift_settings::config::Config;
 use lentillift_settings::config::Kind;
 use lentillift_settings::daemon::Settings;
-use lentillift_standin::world::Data;
-use lentillift_standin::world::Running;
+use lentillift_standin::world::RunningWorld;
+use lentillift_standin::world::ServiceData;
 use lentillift_standin::world::World;
 use lentilliftd::daemon::Daemon;
 use lentilliftd::daemon::Sockets;
@@ -65,7 +65,7 @@
     /// Where operators connect, one address for each process.
     pub(crate) operators: Vec<SocketAddr>,
     /// The platform's stand-in and the backend servers.
-    pub(crate) running: Running,
+    pub(crate) running: RunningWorld,
     daemons: Vec<Daemon>,
     _stop: watch::Sender<bool>,
 }
@@ -75,13 +75,13 @@
     fn world(&self) -> anyhow::Result<World> {
         let config: Config = serde_json::from_str(self.config).context(self.name)?;
         let services = config.services.iter();
-        let data: BTreeMap<id::Service, Data> = services
+        let data: BTreeMap<id::Service, ServiceData> = services
             .map(|(name, service)| (name.clone(), self.data(name, service.kind)))
             .collect();
         Ok(World { config, data })
     }
 
-    fn data(&self, service: &str, kind: Kind) -> Data {
+    fn data(&self, service: &str, kind: Kind) -> ServiceData {
         let large = self.large.iter().find(|(name, _)| *name == service);
         let servers = large.map_or(2, |(_, servers)| *servers);
         let shards = match kind {
@@ -89,7 +89,7 @@
             Kind::Search if service == self.search => self.shards,
             Kind::Search => 1,
         };
-        Data {
+        ServiceData {
             shards,
             replicas: 2,
             servers: Some(servers),
@@ -151,7 +151,7 @@
 }
 
 /// Makes every tenth request to one backend server slow.
-fn make_one_slow(running: &Running, example: &Example) -> anyhow::Result<()> {
+fn make_one_slow(running: &RunningWorld, example: &Example) -> anyhow::Result<()> {
     let name = format!("{}-0", example.search);
     let backend = running.backends.get(name.as_str()).context(name)?;
     backend.set(|behavior| {
@@ -163,9 +163,9 @@
 
 /// Publishes an address without a listener (port 1 of loopback) for one backend server, as if that
 /// replica had crashed.
-fn make_one_unreachable(running: &mut Running, example: &Example) -> anyhow::Result<()> {
+fn make_one_unreachable(running: &mut RunningWorld, example: &Example) -> anyhow::Result<()> {
     let name = format!("{}-1", example.search);
-    let placed = running.place(example.search, |placement| {
+    let placed = running.update_placement(example.search, |placement| {
         if let Some(server) = placement.servers.get_mut(name.as_str()) {
             server.address = SocketAddr::from(([127, 0, 0, 1], 1));
         }
