--- a/crates/lentillift-caller/src/parse.rs
+++ b/crates/lentillift-caller/src/parse.rs
@@ -101,13 +101,13 @@
     };
     if limit > MAX_LIMIT {
         return Err(malformed(format!(
-            "limit: found {limit}, expected at most {MAX_LIMIT}"
+            "limit: found {limit}, at most {MAX_LIMIT} is right"
         )));
     }
     let least_coverage: f64 = optional_header(headers, LEAST_COVERAGE)?.unwrap_or(0.0);
     if !(0.0..=1.0).contains(&least_coverage) {
         return Err(malformed(format!(
-            "{LEAST_COVERAGE}: found {least_coverage}, expected a number from 0 to 1"
+            "{LEAST_COVERAGE}: found {least_coverage}, from 0 to 1 is right"
         )));
     }
     Ok(SearchRequest {
@@ -149,7 +149,7 @@
 
 fn allowance(headers: &HeaderMap) -> Result<Duration, Refusal> {
     let missing = || {
-        let detail = format!("{ALLOWANCE}: missing, expected a number of milliseconds");
+        let detail = format!("{ALLOWANCE}: missing, a number of milliseconds is right");
         Refusal::new(Cause::Allowance, detail)
     };
     optional_header(headers, ALLOWANCE)?
--- a/crates/lentillift-caller/src/server.rs
+++ b/crates/lentillift-caller/src/server.rs
@@ -83,7 +83,7 @@
             Ok(Route::Action(submit)) => self.action(submit).await,
             Err(RouteError::NoRoute) => plain(StatusCode::NOT_FOUND, "no such route".to_owned()),
             Err(RouteError::Method) => {
-                plain(StatusCode::METHOD_NOT_ALLOWED, "expected POST".to_owned())
+                plain(StatusCode::METHOD_NOT_ALLOWED, "POST is right".to_owned())
             }
             Err(RouteError::Refused(refusal)) => render::refusal(&refusal),
         }
@@ -138,9 +138,8 @@
         let _ = self.calls.send(call).await;
         // Unknown even if the call was never received: the action may have been sent through
         // another host before, under the same id.
-        let ending = |_| {
-            ActionResponse::unknown("the process is ending; retry at another host with the same id")
-        };
+        let ending =
+            |_| ActionResponse::unknown("the process is ending; ask another with the same id");
         render::action(response.await.unwrap_or_else(ending))
     }
 }
--- a/crates/lentillift-http/src/listener.rs
+++ b/crates/lentillift-http/src/listener.rs
@@ -140,10 +140,10 @@
     let response = match tokio::time::timeout(options.body_timeout, body).await {
         Ok(Ok(body)) => handler(Request::from_parts(head, body.to_bytes())).await,
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            let detail = format!("body: expected at most {} bytes", options.body_limit);
+            let detail = format!("body: at most {} bytes are right", options.body_limit);
             plain(StatusCode::PAYLOAD_TOO_LARGE, detail)
         }
-        Ok(Err(_)) => plain(StatusCode::BAD_REQUEST, "body: truncated".to_owned()),
+        Ok(Err(_)) => plain(StatusCode::BAD_REQUEST, "body: cut off".to_owned()),
         Err(_) => plain(StatusCode::REQUEST_TIMEOUT, "body: too slow".to_owned()),
     };
     Ok(response.map(Full::new))
