--- a/crates/lentillift-node/src/gossip.rs
+++ b/crates/lentillift-node/src/gossip.rs
@@ -41,18 +41,18 @@
 
 /// See [`value::Stamp`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Mark {
+pub struct Stamp {
     revision: u64,
-    sum: u64,
+    checksum: u64,
 }
 
 /// See [`packet::Update`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub enum News {
+pub enum Update {
     /// See [`packet::Update::Member`].
     Member(Member),
     /// See [`packet::Update::Value`].
-    Value(String, Mark),
+    Value(String, Stamp),
 }
 
 /// See [`packet::Body`].
@@ -77,7 +77,7 @@
     values: u64,
     members: u64,
     body: Body,
-    news: Vec<News>,
+    updates: Vec<Update>,
 }
 
 /// See [`sync::Message`].
@@ -86,9 +86,9 @@
     /// See [`sync::Message::Ask`].
     Ask,
     /// See [`sync::Message::Told`].
-    Told(Vec<Member>, Vec<(String, Mark)>),
+    Told(Vec<Member>, Vec<(String, Stamp)>),
     /// See [`sync::Message::Pull`].
-    Pull(String, Mark, u32),
+    Pull(String, Stamp, u32),
     /// See [`sync::Message::Chunk`].
     Chunk(Box<Chunk>),
 }
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Chunk {
     key: String,
-    mark: Mark,
+    stamp: Stamp,
     version: u64,
     offset: u32,
     total: u32,
@@ -137,40 +137,40 @@
     }
 }
 
-impl From<value::Stamp> for Mark {
-    fn from(mark: value::Stamp) -> Self {
+impl From<value::Stamp> for Stamp {
+    fn from(stamp: value::Stamp) -> Self {
         Self {
-            revision: mark.revision,
-            sum: mark.checksum,
+            revision: stamp.revision,
+            checksum: stamp.checksum,
         }
     }
 }
 
-impl From<Mark> for value::Stamp {
-    fn from(mark: Mark) -> Self {
+impl From<Stamp> for value::Stamp {
+    fn from(stamp: Stamp) -> Self {
         Self {
-            revision: mark.revision,
-            checksum: mark.sum,
+            revision: stamp.revision,
+            checksum: stamp.checksum,
         }
     }
 }
 
-impl From<packet::Update> for News {
-    fn from(news: packet::Update) -> Self {
-        match news {
+impl From<packet::Update> for Update {
+    fn from(update: packet::Update) -> Self {
+        match update {
             packet::Update::Member(member) => Self::Member(member.into()),
-            packet::Update::Value(key, mark) => Self::Value(key.to_string(), mark.into()),
+            packet::Update::Value(key, stamp) => Self::Value(key.to_string(), stamp.into()),
         }
     }
 }
 
-impl TryFrom<News> for packet::Update {
+impl TryFrom<Update> for packet::Update {
     type Error = String;
 
-    fn try_from(news: News) -> Result<Self, Self::Error> {
-        Ok(match news {
-            News::Member(member) => Self::Member(member.try_into()?),
-            News::Value(key, mark) => Self::Value(key.into(), mark.into()),
+    fn try_from(update: Update) -> Result<Self, Self::Error> {
+        Ok(match update {
+            Update::Member(member) => Self::Member(member.try_into()?),
+            Update::Value(key, stamp) => Self::Value(key.into(), stamp.into()),
         })
     }
 }
@@ -214,7 +214,7 @@
             values: packet.digest.values,
             members: packet.digest.members,
             body: packet.body.into(),
-            news: packet.updates.into_iter().map(News::from).collect(),
+            updates: packet.updates.into_iter().map(Update::from).collect(),
         }
     }
 }
@@ -223,7 +223,7 @@
     type Error = String;
 
     fn try_from(packet: Packet) -> Result<Self, Self::Error> {
-        let news = packet.news.into_iter().map(packet::Update::try_from);
+        let updates = packet.updates.into_iter().map(packet::Update::try_from);
         Ok(Self {
             from: packet.from.try_into()?,
             digest: packet::Digest {
@@ -231,7 +231,7 @@
                 members: packet.members,
             },
             body: packet.body.into(),
-            updates: news.collect::<Result<_, _>>()?,
+            updates: updates.collect::<Result<_, _>>()?,
         })
     }
 }
@@ -240,32 +240,27 @@
     fn from(message: sync::Message) -> Self {
         match message {
             sync::Message::Ask => Self::Ask,
-            sync::Message::Told {
-                members,
-                stamps: marks,
-            } => {
-                let marks = marks.into_iter();
-                let marks = marks.map(|(key, mark)| (key.to_string(), mark.into()));
+            sync::Message::Told { members, stamps } => {
+                let stamps = stamps.into_iter();
+                let stamps = stamps.map(|(key, stamp)| (key.to_string(), stamp.into()));
                 Self::Told(
                     members.into_iter().map(Member::from).collect(),
-                    marks.collect(),
+                    stamps.collect(),
                 )
             }
-            sync::Message::Pull {
-                key,
-                stamp: mark,
-                offset,
-            } => Self::Pull(key.to_string(), mark.into(), offset),
+            sync::Message::Pull { key, stamp, offset } => {
+                Self::Pull(key.to_string(), stamp.into(), offset)
+            }
             sync::Message::Chunk {
                 key,
-                stamp: mark,
+                stamp,
                 version,
                 offset,
                 total,
                 bytes,
             } => Self::Chunk(Box::new(Chunk {
                 key: key.to_string(),
-                mark: mark.into(),
+                stamp: stamp.into(),
                 version,
                 offset,
                 total,
@@ -281,22 +276,24 @@
     fn try_from(message: Sync) -> Result<Self, Self::Error> {
         Ok(match message {
             Sync::Ask => Self::Ask,
-            Sync::Told(members, marks) => {
+            Sync::Told(members, stamps) => {
                 let members = members.into_iter().map(member::Member::try_from);
-                let marks = marks.into_iter();
+                let stamps = stamps.into_iter();
                 Self::Told {
                     members: members.collect::<Result<_, _>>()?,
-                    stamps: marks.map(|(key, mark)| (key.into(), mark.into())).collect(),
+                    stamps: stamps
+                        .map(|(key, stamp)| (key.into(), stamp.into()))
+                        .collect(),
                 }
             }
-            Sync::Pull(key, mark, offset) => Self::Pull {
+            Sync::Pull(key, stamp, offset) => Self::Pull {
                 key: key.into(),
-                stamp: mark.into(),
+                stamp: stamp.into(),
                 offset,
             },
             Sync::Chunk(chunk) => Self::Chunk {
                 key: chunk.key.into(),
-                stamp: chunk.mark.into(),
+                stamp: chunk.stamp.into(),
                 version: chunk.version,
                 offset: chunk.offset,
                 total: chunk.total,
--- a/crates/lentillift-node/src/message.rs
+++ b/crates/lentillift-node/src/message.rs
@@ -24,9 +24,9 @@
     Cancel(id::Sub),
     /// An owner answers a sub-request.
     Result {
-        /// The desk (the task at the entry) that sent the sub-request.
-        desk: Component,
-        /// The sub-request's id, unique at that desk.
+        /// The component that sent the sub-request and receives its result.
+        component: Component,
+        /// The sub-request's id, assigned by that component.
         id: id::Sub,
         /// The hits or the reply, or the failure.
         result: sub::Result,
@@ -55,9 +55,9 @@
     },
     /// A home that shuts down hands over request ids, which it no longer serves itself.
     Handover(HandoverBatch),
-    /// A host has taken over the ids of a parcel.
+    /// A host has taken over the ids of a handover batch.
     Taken {
-        /// The parcel's number.
+        /// The batch's number.
         number: u64,
     },
     /// A process forwards a sub-request to the host that it knows to hold the lease on the backend
--- a/crates/lentillift-node/src/once.rs
+++ b/crates/lentillift-node/src/once.rs
@@ -11,7 +11,7 @@
 
 /// See [`submit::ActionRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Submit {
+pub struct ActionRequest {
     key: String,
     service: String,
     caller: String,
@@ -21,7 +21,7 @@
 
 /// See [`submit::ActionResponse`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Settled {
+pub struct ActionResponse {
     outcome: Outcome,
     cause: Option<Cause>,
     retry_after_ms: Option<u64>,
@@ -30,16 +30,16 @@
 
 /// See [`record::HandoverBatch`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Parcel {
+pub struct HandoverBatch {
     number: u64,
     host: String,
     incarnation: u64,
-    records: Vec<Carried>,
+    records: Vec<HandoverRecord>,
 }
 
 /// See [`record::HandoverRecord`].
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Carried {
+pub struct HandoverRecord {
     number: u64,
     issued: u64,
     secret: u64,
@@ -76,77 +76,77 @@
     }
 }
 
-impl From<submit::ActionRequest> for Submit {
-    fn from(submit: submit::ActionRequest) -> Self {
+impl From<submit::ActionRequest> for ActionRequest {
+    fn from(request: submit::ActionRequest) -> Self {
         Self {
-            key: submit.key,
-            service: submit.service.to_string(),
-            caller: submit.caller.to_string(),
-            allowance_us: submit.allowance.as_micros() as u64,
-            body: submit.body.to_vec(),
+            key: request.key,
+            service: request.service.to_string(),
+            caller: request.caller.to_string(),
+            allowance_us: request.allowance.as_micros() as u64,
+            body: request.body.to_vec(),
         }
     }
 }
 
-impl From<Submit> for submit::ActionRequest {
-    fn from(submit: Submit) -> Self {
+impl From<ActionRequest> for submit::ActionRequest {
+    fn from(request: ActionRequest) -> Self {
         Self {
-            key: submit.key,
-            service: submit.service.into(),
-            caller: submit.caller.into(),
-            allowance: Duration::from_micros(submit.allowance_us),
-            body: submit.body.into(),
+            key: request.key,
+            service: request.service.into(),
+            caller: request.caller.into(),
+            allowance: Duration::from_micros(request.allowance_us),
+            body: request.body.into(),
         }
     }
 }
 
-impl From<submit::ActionResponse> for Settled {
-    fn from(settled: submit::ActionResponse) -> Self {
+impl From<submit::ActionResponse> for ActionResponse {
+    fn from(response: submit::ActionResponse) -> Self {
         Self {
-            outcome: settled.outcome.into(),
-            cause: settled.cause.map(Into::into),
-            retry_after_ms: settled.retry_after.map(|after| after.as_millis() as u64),
-            body: settled.body,
+            outcome: response.outcome.into(),
+            cause: response.cause.map(Into::into),
+            retry_after_ms: response.retry_after.map(|after| after.as_millis() as u64),
+            body: response.body,
         }
     }
 }
 
-impl From<Settled> for submit::ActionResponse {
-    fn from(settled: Settled) -> Self {
+impl From<ActionResponse> for submit::ActionResponse {
+    fn from(response: ActionResponse) -> Self {
         Self {
-            outcome: settled.outcome.into(),
-            cause: settled.cause.map(Into::into),
-            retry_after: settled.retry_after_ms.map(Duration::from_millis),
-            body: settled.body,
+            outcome: response.outcome.into(),
+            cause: response.cause.map(Into::into),
+            retry_after: response.retry_after_ms.map(Duration::from_millis),
+            body: response.body,
         }
     }
 }
 
-impl From<record::HandoverBatch> for Parcel {
-    fn from(parcel: record::HandoverBatch) -> Self {
+impl From<record::HandoverBatch> for HandoverBatch {
+    fn from(batch: record::HandoverBatch) -> Self {
         Self {
-            number: parcel.number,
-            host: parcel.host.to_string(),
-            incarnation: parcel.incarnation,
-            records: parcel.records.into_iter().map(Into::into).collect(),
+            number: batch.number,
+            host: batch.host.to_string(),
+            incarnation: batch.incarnation,
+            records: batch.records.into_iter().map(Into::into).collect(),
         }
     }
 }
 
-impl From<Parcel> for record::HandoverBatch {
-    fn from(parcel: Parcel) -> Self {
+impl From<HandoverBatch> for record::HandoverBatch {
+    fn from(batch: HandoverBatch) -> Self {
         Self {
-            number: parcel.number,
-            host: parcel.host.into(),
-            incarnation: parcel.incarnation,
-            records: parcel.records.into_iter().map(Into::into).collect(),
+            number: batch.number,
+            host: batch.host.into(),
+            incarnation: batch.incarnation,
+            records: batch.records.into_iter().map(Into::into).collect(),
         }
     }
 }
 
-impl From<record::HandoverRecord> for Carried {
-    fn from(carried: record::HandoverRecord) -> Self {
-        let state = match carried.state {
+impl From<record::HandoverRecord> for HandoverRecord {
+    fn from(record: record::HandoverRecord) -> Self {
+        let state = match record.state {
             record::State::Unused => State::Unused,
             // The host that takes over can no longer learn the result of a request in flight.
             record::State::Sent(digest) | record::State::Unknown(digest) => State::Unknown(digest),
@@ -155,29 +155,29 @@
             }
         };
         Self {
-            number: carried.number,
-            issued: carried.issued,
-            secret: carried.secret,
-            caller: carried.caller.to_string(),
-            left_ms: carried.left.as_millis() as u64,
+            number: record.number,
+            issued: record.issued,
+            secret: record.secret,
+            caller: record.caller.to_string(),
+            left_ms: record.left.as_millis() as u64,
             state,
         }
     }
 }
 
-impl From<Carried> for record::HandoverRecord {
-    fn from(carried: Carried) -> Self {
-        let state = match carried.state {
+impl From<HandoverRecord> for record::HandoverRecord {
+    fn from(record: HandoverRecord) -> Self {
+        let state = match record.state {
             State::Unused => record::State::Unused,
             State::Done(digest, reply) => record::State::Done(digest, reply.map(Into::into)),
             State::Unknown(digest) => record::State::Unknown(digest),
         };
         Self {
-            number: carried.number,
-            issued: carried.issued,
-            secret: carried.secret,
-            caller: carried.caller.into(),
-            left: Duration::from_millis(carried.left_ms),
+            number: record.number,
+            issued: record.issued,
+            secret: record.secret,
+            caller: record.caller.into(),
+            left: Duration::from_millis(record.left_ms),
             state,
         }
     }
--- a/crates/lentillift-node/src/wire.rs
+++ b/crates/lentillift-node/src/wire.rs
@@ -10,9 +10,9 @@
 use crate::lease::Verdict;
 use crate::message;
 use crate::mirror::mirror;
-use crate::once::Parcel;
-use crate::once::Settled;
-use crate::once::Submit;
+use crate::once::ActionRequest;
+use crate::once::ActionResponse;
+use crate::once::HandoverBatch;
 use bincode::Decode;
 use bincode::Encode;
 use lentillift_core::hit;
@@ -28,15 +28,15 @@
     /// See [`message::Message::Cancel`].
     Cancel(u64),
     /// See [`message::Message::Result`].
-    Result(Desk, u64, SubResult, Option<Load>),
+    Result(Component, u64, SubResult, Option<Load>),
     /// See [`message::Message::Submit`].
-    Submit(u64, Submit),
+    Submit(u64, ActionRequest),
     /// See [`message::Message::Settled`].
-    Settled(u64, Settled),
+    Settled(u64, ActionResponse),
     /// See [`message::Message::NotHome`].
     NotHome(u64),
     /// See [`message::Message::Handover`].
-    Handover(Parcel),
+    Handover(HandoverBatch),
     /// See [`message::Message::Taken`].
     Taken(u64),
     /// See [`message::Message::Forward`].
@@ -69,7 +69,7 @@
 }
 
 mirror! {
-    Desk of sub::Component {
+    Component of sub::Component {
         Query,
         Once,
     }
@@ -143,17 +143,17 @@
             message::Message::Sub(sub) => Self::Sub(sub.into()),
             message::Message::Cancel(id) => Self::Cancel(id),
             message::Message::Result {
-                desk,
+                component,
                 id,
                 result,
                 load,
-            } => Self::Result(desk.into(), id, result.into(), load.map(Load::from)),
+            } => Self::Result(component.into(), id, result.into(), load.map(Load::from)),
             message::Message::Submit { request, submit } => Self::Submit(request, submit.into()),
             message::Message::Settled { request, settled } => {
                 Self::Settled(request, settled.into())
             }
             message::Message::NotHome { request } => Self::NotHome(request),
-            message::Message::Handover(parcel) => Self::Handover(parcel.into()),
+            message::Message::Handover(batch) => Self::Handover(batch.into()),
             message::Message::Taken { number } => Self::Taken(number),
             message::Message::Forward { from, sub } => Self::Forward(from.to_string(), sub.into()),
             message::Message::Claims { sent, claims } => Self::Claims(
@@ -184,8 +184,8 @@
         Ok(match message {
             Message::Sub(sub) => Self::Sub(sub.into()),
             Message::Cancel(id) => Self::Cancel(id),
-            Message::Result(desk, id, result, load) => Self::Result {
-                desk: desk.into(),
+            Message::Result(component, id, result, load) => Self::Result {
+                component: component.into(),
                 id,
                 result: result.try_into()?,
                 load: load.map(sub::Load::from),
@@ -199,7 +199,7 @@
                 settled: settled.into(),
             },
             Message::NotHome(request) => Self::NotHome { request },
-            Message::Handover(parcel) => Self::Handover(parcel.into()),
+            Message::Handover(batch) => Self::Handover(batch.into()),
             Message::Taken(number) => Self::Taken { number },
             Message::Forward(from, sub) => Self::Forward {
                 from: from.into(),
--- a/crates/lentillift-node/tests/fuzz.rs
+++ b/crates/lentillift-node/tests/fuzz.rs
@@ -105,15 +105,15 @@
         stage: Stage::Serving,
         health: Health::Alive,
     };
-    let mut news = Vec::new();
-    let mut room = UPDATES_BYTES;
+    let mut updates = Vec::new();
+    let mut remaining = UPDATES_BYTES;
     for number in 0.. {
-        let one = Update::Member(member(format!("{number}")));
-        let Some(left) = room.checked_sub(one.bytes()) else {
+        let update = Update::Member(member(format!("{number}")));
+        let Some(left) = remaining.checked_sub(update.bytes()) else {
             break;
         };
-        room = left;
-        news.push(one);
+        remaining = left;
+        updates.push(update);
     }
     let packet = Packet {
         from: member("h".to_owned()),
@@ -122,7 +122,7 @@
             members: 2,
         },
         body: Body::Ping(1),
-        updates: news,
+        updates,
     };
     let bytes = datagram::encode(packet.clone()).expect("a datagram");
     assert_eq!(datagram::decode(&bytes), Ok(packet));
--- a/crates/lentillift-node/tests/gossip.rs
+++ b/crates/lentillift-node/tests/gossip.rs
@@ -48,17 +48,14 @@
         )
 }
 
-fn mark() -> impl Strategy<Value = Stamp> {
-    any::<(u64, u64)>().prop_map(|(revision, sum)| Stamp {
-        revision,
-        checksum: sum,
-    })
+fn stamp() -> impl Strategy<Value = Stamp> {
+    any::<(u64, u64)>().prop_map(|(revision, checksum)| Stamp { revision, checksum })
 }
 
-fn news() -> impl Strategy<Value = Update> {
+fn update() -> impl Strategy<Value = Update> {
     prop_oneof![
         member().prop_map(Update::Member),
-        ("[a-z/]{1,30}", mark()).prop_map(|(key, mark)| Update::Value(key.into(), mark)),
+        ("[a-z/]{1,30}", stamp()).prop_map(|(key, stamp)| Update::Value(key.into(), stamp)),
     ]
 }
 
@@ -82,43 +79,39 @@
         member(),
         digest,
         body(),
-        prop::collection::vec(news(), 0..8),
+        prop::collection::vec(update(), 0..8),
     )
-        .prop_map(|(from, digest, body, news)| Packet {
+        .prop_map(|(from, digest, body, updates)| Packet {
             from,
             digest,
             body,
-            updates: news,
+            updates,
         })
 }
 
 fn message() -> impl Strategy<Value = sync::Message> {
     let members = prop::collection::vec(member(), 0..5);
-    let marks = prop::collection::vec(("[a-z/]{1,30}", mark()), 0..5);
+    let stamps = prop::collection::vec(("[a-z/]{1,30}", stamp()), 0..5);
     prop_oneof![
         Just(sync::Message::Ask),
-        (members, marks).prop_map(|(members, marks)| sync::Message::Told {
+        (members, stamps).prop_map(|(members, stamps)| sync::Message::Told {
             members,
-            stamps: marks.into_iter().map(|(k, m)| (k.into(), m)).collect(),
+            stamps: stamps.into_iter().map(|(k, m)| (k.into(), m)).collect(),
         }),
-        ("[a-z/]{1,30}", mark(), any::<u32>()).prop_map(|(key, mark, offset)| {
+        ("[a-z/]{1,30}", stamp(), any::<u32>()).prop_map(|(key, stamp, offset)| {
             let key = key.into();
-            sync::Message::Pull {
-                key,
-                stamp: mark,
-                offset,
-            }
+            sync::Message::Pull { key, stamp, offset }
         }),
         (
             "[a-z/]{1,30}",
-            mark(),
+            stamp(),
             any::<(u64, u32, u32)>(),
             any::<Vec<u8>>()
         )
-            .prop_map(|(key, mark, (version, offset, total), bytes)| {
+            .prop_map(|(key, stamp, (version, offset, total), bytes)| {
                 sync::Message::Chunk {
                     key: key.into(),
-                    stamp: mark,
+                    stamp,
                     version,
                     offset,
                     total,
--- a/crates/lentillift-owner/src/core.rs
+++ b/crates/lentillift-owner/src/core.rs
@@ -102,8 +102,8 @@
     Reply {
         /// The host that sent the sub-request.
         to: id::Host,
-        /// The part of that host's process that waits for the result.
-        desk: Component,
+        /// The component of that host's process that receives the result.
+        component: Component,
         /// The sub-request's number there.
         id: id::Sub,
         /// The result.
@@ -137,7 +137,7 @@
     policy: Policy,
     /// What the leases of this process allow; no work may be sent to a backend server without an
     /// entry.
-    holds: HashMap<id::Backend, LeaseState>,
+    lease_states: HashMap<id::Backend, LeaseState>,
     /// Latest end of the requests sent to each backend server.
     last_ends: HashMap<id::Backend, Time>,
     // INVARIANT: Holds no server that this process has no lease on, except those with a request in
@@ -172,7 +172,7 @@
             } => self.finish(now, ticket, result, &report),
             Event::Tick => self.tick(now),
             Event::View(view) => self.set_view(now, view),
-            Event::Hold { backend, hold } => self.set_hold(now, &backend, hold),
+            Event::Hold { backend, hold } => self.set_lease_state(now, &backend, hold),
             Event::Acquired { backend, transfer } => {
                 self.start_lease(now, &backend, transfer);
                 Vec::new()
@@ -235,12 +235,12 @@
         &mut self,
         from: &id::Host,
         id: id::Sub,
-        desk: Component,
+        component: Component,
         ticket: Option<Ticket>,
     ) {
         let key = (from.clone(), id);
         let known = self.tickets.get(&key).map(|(ticket, _)| *ticket);
-        if desk == Component::Query && (ticket.is_none() || ticket == known) {
+        if component == Component::Query && (ticket.is_none() || ticket == known) {
             self.tickets.remove(&key);
         }
     }
@@ -294,7 +294,7 @@
         }
         let request = InFlight {
             from: waiting.from,
-            desk: waiting.sub.work.component(),
+            component: waiting.sub.work.component(),
             id: waiting.sub.id,
             backend: waiting.sub.backend.clone(),
             caller: waiting.sub.caller.clone(),
--- a/crates/lentillift-owner/src/core/admit.rs
+++ b/crates/lentillift-owner/src/core/admit.rs
@@ -126,7 +126,7 @@
         );
         Effect::Reply {
             to: waiting.from,
-            desk: waiting.sub.work.component(),
+            component: waiting.sub.work.component(),
             id: waiting.sub.id,
             result: sub::Result::not_run(failure),
             load: self.load(now, &waiting.sub.backend, &waiting.sub.caller),
--- a/crates/lentillift-owner/src/core/lease.rs
+++ b/crates/lentillift-owner/src/core/lease.rs
@@ -26,7 +26,7 @@
     /// End of the lease on `backend`, by which all requests to it must have ended; `None` if none
     /// may be sent now.
     pub(super) fn lease_end(&self, now: Time, backend: &id::Backend) -> Option<Time> {
-        match self.holds.get(backend) {
+        match self.lease_states.get(backend) {
             Some(LeaseState::Until(until)) if now < *until && self.view.is_fresh(now) => {
                 Some(*until)
             }
@@ -36,20 +36,20 @@
 
     /// Whether sub-requests for `backend` may be queued here.
     pub fn may_queue(&self, backend: &id::Backend) -> bool {
-        let hold = self.holds.get(backend);
-        matches!(hold, Some(LeaseState::Until(_) | LeaseState::Pending))
+        let state = self.lease_states.get(backend);
+        matches!(state, Some(LeaseState::Until(_) | LeaseState::Pending))
     }
 
     /// Applies a change of the lease on `backend`; when it is lost, waiting sub-requests are
     /// forwarded to the new holder.
-    pub(super) fn set_hold(
+    pub(super) fn set_lease_state(
         &mut self,
         now: Time,
         backend: &id::Backend,
-        hold: LeaseState,
+        state: LeaseState,
     ) -> Vec<Effect> {
-        let lost = matches!(hold, LeaseState::No(_));
-        self.holds.insert(backend.clone(), hold);
+        let lost = matches!(state, LeaseState::No(_));
+        self.lease_states.insert(backend.clone(), state);
         if !lost {
             return self.process_queue(now, backend);
         }
@@ -68,7 +68,7 @@
     /// is unknown.
     fn forward(&mut self, now: Time, mut waiting: Waiting) -> Effect {
         let left = waiting.deadline.saturating_sub(now);
-        let Some(LeaseState::No(Some(holder))) = self.holds.get(&waiting.sub.backend) else {
+        let Some(LeaseState::No(Some(holder))) = self.lease_states.get(&waiting.sub.backend) else {
             return self.refuse(now, waiting, Failure::NotOwner);
         };
         let to = holder.clone();
--- a/crates/lentillift-owner/src/core/result.rs
+++ b/crates/lentillift-owner/src/core/result.rs
@@ -22,7 +22,7 @@
             return Vec::new();
         };
         let backend = request.backend.clone();
-        self.remove_ticket(&request.from, request.id, request.desk, Some(ticket));
+        self.remove_ticket(&request.from, request.id, request.component, Some(ticket));
         self.record_cost(now, &request, &result);
         let mut effects = Vec::new();
         if timed_out(&result) && !request.cancelled {
@@ -40,7 +40,7 @@
         effects.push(Effect::Reply {
             load: self.load(now, &backend, &request.caller),
             to: request.from,
-            desk: request.desk,
+            component: request.component,
             id: request.id,
             result,
         });
--- a/crates/lentillift-owner/src/core/view_change.rs
+++ b/crates/lentillift-owner/src/core/view_change.rs
@@ -30,7 +30,7 @@
             effects.extend(self.update_server(now, &backend));
         }
         let backends = &self.view.backends;
-        self.holds
+        self.lease_states
             .retain(|backend, _| backends.contains_key(backend));
         self.last_ends.retain(|_, end| now < *end);
         let placements = &self.view.values.placements;
--- a/crates/lentillift-owner/src/queue.rs
+++ b/crates/lentillift-owner/src/queue.rs
@@ -21,8 +21,8 @@
 pub struct InFlight {
     /// The host whose entry sent the sub-request.
     pub from: id::Host,
-    /// The part of that host's process that waits for the result.
-    pub desk: Component,
+    /// The component of that host's process that receives the result.
+    pub component: Component,
     /// The sub-request's number there.
     pub id: id::Sub,
     /// The backend server it was sent to.
--- a/crates/lentilliftd/src/entry.rs
+++ b/crates/lentilliftd/src/entry.rs
@@ -114,16 +114,19 @@
         match input {
             Input::Call(Call::Query {
                 request,
-                ask,
+                ask: search,
                 reply,
             }) => {
                 let pending = PendingQuery {
                     reply,
-                    labels: QueryLabels::of(&self.view, &ask),
+                    labels: QueryLabels::of(&self.view, &search),
                     received_at: self.clock.now(),
                 };
                 self.pending.insert(request, pending);
-                Some(Event::Ask { request, ask })
+                Some(Event::Ask {
+                    request,
+                    ask: search,
+                })
             }
             Input::Call(Call::Gone { request }) => {
                 self.pending.remove(&request);
--- a/crates/lentilliftd/src/lease.rs
+++ b/crates/lentilliftd/src/lease.rs
@@ -77,18 +77,18 @@
                 from,
                 sent,
                 verdicts,
-            } => self.tenure.handle_verdicts(now, &from, sent, verdicts),
+            } => self.leases.handle_verdicts(now, &from, sent, verdicts),
             Input::Release { from, released } => {
                 let Peer { host, incarnation } = from;
-                self.tenure
+                self.leases
                     .handle_release(now, &host, incarnation, &released);
                 Vec::new()
             }
-            Input::Cede(transfer) => self.tenure.accept_transfer(now, transfer),
-            Input::Ceded { by, backend } => self.tenure.handle_confirmation(now, &backend, &by),
+            Input::Cede(transfer) => self.leases.accept_transfer(now, transfer),
+            Input::Ceded { by, backend } => self.leases.handle_confirmation(now, &backend, &by),
             Input::Returned { from, sub } => {
                 let message = Message::Result {
-                    desk: sub.work.component(),
+                    component: sub.work.component(),
                     id: sub.id,
                     result: sub::Result::not_run(Failure::Connection),
                     load: None,
@@ -100,7 +100,7 @@
                 self.board
                     .event("lease", &self.local_peer.host, "handing over");
                 self.handover_done = Some(done);
-                self.tenure.leave(now)
+                self.leases.leave(now)
             }
         };
         self.apply_lease_effects(now, effects).await;
@@ -127,7 +127,7 @@
         claims: Vec<Claim>,
     ) -> (Vec<(id::Backend, Attempt, Verdict)>, Vec<Effect>) {
         let (verdicts, effects) =
-            self.tenure
+            self.leases
                 .handle_claims(now, &from.host, from.incarnation, &claims);
         let answers = claims.into_iter().zip(verdicts);
         let answers = answers.map(|(claim, verdict)| (claim.backend, claim.attempt, verdict));
@@ -145,7 +145,7 @@
                     let local_peer = self.local_peer.clone();
                     let (verdicts, effects) = self.decide_claims(now, &local_peer, claims);
                     queue.extend(effects);
-                    queue.extend(self.tenure.handle_verdicts(
+                    queue.extend(self.leases.handle_verdicts(
                         now,
                         &local_peer.host,
                         sent,
@@ -160,7 +160,7 @@
                 }
                 Effect::Release { to, released } if to == self.local_peer.host => {
                     let local_peer = self.local_peer.clone();
-                    self.tenure.handle_release(
+                    self.leases.handle_release(
                         now,
                         &local_peer.host,
                         local_peer.incarnation,
@@ -176,11 +176,11 @@
                 Effect::Confirm { to, backend } => {
                     self.peers.send(&to, Message::Ceded(backend)).await;
                 }
-                Effect::Changed(backend) => self.update_hold(now, backend).await,
+                Effect::Changed(backend) => self.update_lease_state(now, backend).await,
             }
         }
         self.hand_over(now).await;
-        if self.tenure.is_empty()
+        if self.leases.is_empty()
             && let Some(done) = self.handover_done.take()
         {
             // The send fails if the shutdown has timed out waiting for it.
@@ -199,12 +199,12 @@
             transfer,
         };
         self.handle(now, acquired).await;
-        self.update_hold(now, backend).await;
+        self.update_lease_state(now, backend).await;
     }
 
-    /// Passes the current hold on `backend` to the owner.
-    async fn update_hold(&mut self, now: Time, backend: id::Backend) {
-        let hold = self.tenure.lease_state(now, &backend);
+    /// Passes the state of the lease on `backend` to the owner.
+    async fn update_lease_state(&mut self, now: Time, backend: id::Backend) {
+        let hold = self.leases.lease_state(now, &backend);
         if matches!(hold, LeaseState::No(_)) && self.has_state_for(&backend) {
             let detail = format!("no longer held: {hold:?}");
             self.board.event("lease", &backend, detail);
@@ -215,12 +215,12 @@
     /// Hands over each backend server that is being ceded and has no request in flight, or whose
     /// wait for them has timed out.
     pub(crate) async fn hand_over(&mut self, now: Time) {
-        for (backend, overdue) in self.tenure.ceding(now) {
+        for (backend, overdue) in self.leases.ceding(now) {
             let status = self.owner.handover_state(now, &backend);
             if status.in_flight > 0 && !overdue {
                 continue;
             }
-            let Some((to, from)) = self.tenure.hand_over(now, &backend) else {
+            let Some((to, from)) = self.leases.hand_over(now, &backend) else {
                 continue;
             };
             let transfer = Transfer {
--- a/crates/lentilliftd/src/once.rs
+++ b/crates/lentilliftd/src/once.rs
@@ -165,10 +165,10 @@
                     self.send(&to, Message::NotHome { request }).await;
                 }
                 Effect::Send { to, sub } => self.send(&to, Message::Sub(sub)).await,
-                Effect::Handover { to, parcel } => {
-                    let detail = format!("{} ids", parcel.records.len());
+                Effect::Handover { to, parcel: batch } => {
+                    let detail = format!("{} ids", batch.records.len());
                     self.board.event("ids handed over", &to, detail);
-                    self.send(&to, Message::Handover(parcel)).await;
+                    self.send(&to, Message::Handover(batch)).await;
                 }
                 Effect::Taken { to, number } => {
                     self.send(&to, Message::Taken { number }).await;
@@ -182,8 +182,8 @@
         }
     }
 
-    fn settle(&mut self, request: id::Request, settled: ActionResponse) {
-        let outcome = match settled.outcome {
+    fn settle(&mut self, request: id::Request, response: ActionResponse) {
+        let outcome = match response.outcome {
             Outcome::Done => "done",
             Outcome::NotRun => "not-run",
             Outcome::Unknown => "unknown",
@@ -191,11 +191,11 @@
         let labels = [("outcome", outcome)];
         self.board.add("lentillift_actions_total", &labels, 1);
         if let Some(pending) = self.pending_actions.remove(&request) {
-            if settled.outcome == Outcome::Unknown {
+            if response.outcome == Outcome::Unknown {
                 report::record_unknown_outcome(&self.board, &pending.service, &pending.key);
             }
             // The send fails if the caller has disconnected.
-            let _ = pending.reply.send(settled);
+            let _ = pending.reply.send(response);
         }
     }
 
--- a/crates/lentilliftd/src/owner.rs
+++ b/crates/lentilliftd/src/owner.rs
@@ -77,7 +77,7 @@
 pub struct Task {
     pub(crate) local_peer: Peer,
     pub(crate) owner: Owner,
-    pub(crate) tenure: LeaseManager,
+    pub(crate) leases: LeaseManager,
     /// Completed once all backend servers are handed over; set while the process shuts down.
     pub(crate) handover_done: Option<oneshot::Sender<()>>,
     view: Arc<View>,
@@ -101,7 +101,7 @@
         board.set_settled(false);
         Self {
             owner: Owner::new(),
-            tenure: LeaseManager::new(
+            leases: LeaseManager::new(
                 clock.now(),
                 local_peer.host.clone(),
                 local_peer.incarnation,
@@ -148,9 +148,9 @@
                 },
                 _ = ticks.tick() => {
                     let now = self.clock.now();
-                    let effects = self.tenure.tick(now);
+                    let effects = self.leases.tick(now);
                     self.apply_lease_effects(now, effects).await;
-                    self.board.set_settled(self.tenure.is_ready(now));
+                    self.board.set_settled(self.leases.is_ready(now));
                 }
                 () = sleep_until(self.clock, wake) => {
                     self.handle(self.clock.now(), Event::Tick).await;
@@ -166,14 +166,14 @@
         let now = self.clock.now();
         self.view = view.clone();
         self.handle(now, Event::View(view.clone())).await;
-        let effects = self.tenure.set_view(now, view);
+        let effects = self.leases.set_view(now, view);
         self.apply_lease_effects(now, effects).await;
     }
 
     async fn handle_input(&mut self, input: Input) {
         let now = self.clock.now();
         match input {
-            Input::Sub { from, sub } => match self.tenure.lease_state(now, &sub.backend) {
+            Input::Sub { from, sub } => match self.leases.lease_state(now, &sub.backend) {
                 LeaseState::No(Some(holder)) => {
                     self.peers
                         .send(&holder, Message::Forward { from, sub })
@@ -223,13 +223,13 @@
             }
             Effect::Reply {
                 to,
-                desk,
+                component,
                 id,
                 result,
                 load,
             } => {
                 let message = Message::Result {
-                    desk,
+                    component,
                     id,
                     result,
                     load,
--- a/crates/lentilliftd/src/peers.rs
+++ b/crates/lentilliftd/src/peers.rs
@@ -153,11 +153,11 @@
                 let _ = self.owner.send(owner::Input::Cancel { from, id }).await;
             }
             Message::Result {
-                desk,
+                component,
                 id,
                 result,
                 load,
-            } => self.send_result(desk, id, result, load).await,
+            } => self.send_result(component, id, result, load).await,
             Message::Submit { request, submit } => {
                 let event = once::Event::Submit {
                     from,
@@ -178,9 +178,12 @@
                 self.send_once_event(once::Event::NotHome { from, request })
                     .await;
             }
-            Message::Handover(parcel) => {
-                self.send_once_event(once::Event::Handover { from, parcel })
-                    .await
+            Message::Handover(batch) => {
+                self.send_once_event(once::Event::Handover {
+                    from,
+                    parcel: batch,
+                })
+                .await
             }
             Message::Taken { number } => self.send_once_event(once::Event::Taken { number }).await,
             Message::Sync(message) => {
@@ -214,7 +217,7 @@
                 self.send_once_event(once::Event::Undelivered { request })
                     .await;
             }
-            Message::Handover(parcel) => self.send_once_event(once::Event::Returned(parcel)).await,
+            Message::Handover(batch) => self.send_once_event(once::Event::Returned(batch)).await,
             // The intended recipient of one of these sees the link close and handles that itself.
             Message::Cancel(_)
             | Message::Result { .. }
@@ -233,12 +236,12 @@
 
     async fn send_result(
         &self,
-        desk: Component,
+        component: Component,
         id: id::Sub,
         result: sub::Result,
         load: Option<Load>,
     ) {
-        match desk {
+        match component {
             Component::Query => {
                 let result = entry::Input::Result { id, result, load };
                 let _ = self.entry.send(result).await;
--- a/crates/lentilliftd/src/report.rs
+++ b/crates/lentilliftd/src/report.rs
@@ -41,17 +41,17 @@
 }
 
 impl QueryLabels {
-    /// The labels of `ask`, or [`UNKNOWN_LABEL`] where the configuration lacks its service.
-    pub(crate) fn of(view: &View, ask: &SearchRequest) -> Self {
+    /// The labels of a query, or [`UNKNOWN_LABEL`] where the configuration lacks its service.
+    pub(crate) fn of(view: &View, request: &SearchRequest) -> Self {
         let config = view.values.config.as_ref();
         let known = config.and_then(|config| {
-            let service = config.services.get(&ask.service)?;
-            let caller_class = config.policy.classes.get(&ask.caller);
+            let service = config.services.get(&request.service)?;
+            let caller_class = config.policy.classes.get(&request.caller);
             Some(caller_class.unwrap_or(&service.class).clone())
         });
         match known {
             Some(class) => Self {
-                service: ask.service.clone(),
+                service: request.service.clone(),
                 class,
             },
             None => Self {
