--- a/crates/lentillift-gateway/benches/search.rs
+++ b/crates/lentillift-gateway/benches/search.rs
@@ -62,7 +62,7 @@
 }
 
 /// Sends one request over a persistent connection.
-fn ask(stream: &mut TcpStream, request: &[u8]) {
+fn send_request(stream: &mut TcpStream, request: &[u8]) {
     stream.write_all(request).expect("written");
     let mut answer = Vec::new();
     let mut part = [0; 16384];
@@ -80,12 +80,12 @@
         let (front, times) = gateway(backends(shards));
         let mut stream = TcpStream::connect(front).expect("connected");
         let request = common::get("/all/x", "9c41d07be2a35f68");
-        ask(&mut stream, request.as_bytes());
+        send_request(&mut stream, request.as_bytes());
         group.bench_function(format!("{shards} shards"), |bench| {
             bench.iter_custom(|count| {
                 let before = spent(&times);
                 for _ in 0..count {
-                    ask(&mut stream, request.as_bytes());
+                    send_request(&mut stream, request.as_bytes());
                 }
                 spent(&times) - before
             });
--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -155,8 +155,8 @@
         if !answer.slow.is_empty() {
             merge_reports(host, &self.reader, &answer.slow);
         }
-        if let Some(account) = &answer.quarantine {
-            quarantine::merge_accounts(host, self.reader.peer(), std::slice::from_ref(account));
+        if let Some(record) = &answer.quarantine {
+            quarantine::merge_records(host, self.reader.peer(), std::slice::from_ref(record));
         }
         let legs = |indices: &[u16]| -> Vec<usize> {
             let legs = indices
--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -174,7 +174,11 @@
     fn encode_answer(&mut self, unreported: &[Option<State>], over: bool) -> Option<Bytes> {
         let mut answer = Answer {
             slow: self.slow_reports(),
-            quarantine: self.run.account().as_ref().map(wire::Account::from),
+            quarantine: self
+                .run
+                .quarantine_record()
+                .as_ref()
+                .map(wire::SharedRecord::from),
             ..Answer::default()
         };
         let mut parts: Vec<SendResult> = Vec::new();
--- a/crates/lentillift-gateway/src/branch/wire.rs
+++ b/crates/lentillift-gateway/src/branch/wire.rs
@@ -53,8 +53,8 @@
     pub(super) failed: Vec<u16>,
     /// Reports on slow backend servers; only in the first answer.
     pub(super) slow: Vec<SlowBackend>,
-    /// Quarantine account of the request, if servers ended while they ran it.
-    pub(super) quarantine: Option<wire::Account>,
+    /// Quarantine record of the request, if servers ended while they ran it.
+    pub(super) quarantine: Option<wire::SharedRecord>,
 }
 
 /// Report on a slow backend server.
--- a/crates/lentillift-gateway/src/feed.rs
+++ b/crates/lentillift-gateway/src/feed.rs
@@ -273,8 +273,8 @@
             false => sent_age,
         }
     };
-    if let Some(away_ms) = frame.outage_age_ms {
-        host.record_outage(age(away_ms));
+    if let Some(outage_age_ms) = frame.outage_age_ms {
+        host.record_outage(age(outage_age_ms));
     }
     if let Some(age_ms) = frame.age_ms {
         let update = frame
--- a/crates/lentillift-gateway/src/feed/freshness.rs
+++ b/crates/lentillift-gateway/src/feed/freshness.rs
@@ -19,7 +19,7 @@
 /// Freshness queries to one origin. They end when this is dropped.
 #[derive(Debug)]
 pub(super) struct FreshnessCheck {
-    questions: Rc<RefCell<Polls>>,
+    polls: Rc<RefCell<Polls>>,
     /// Signals that a query is due immediately.
     query_due: watch::Sender<()>,
 }
@@ -28,26 +28,20 @@
     /// Starts the queries. The request itself counts as the first query; further ones follow in the
     /// returned body, at least one each `period`.
     pub(super) fn start(clock: Clock, origin: &id::Host, period: Duration) -> (Self, frame::Body) {
-        let questions = Rc::new(RefCell::new(Polls::start(clock.now())));
+        let polls = Rc::new(RefCell::new(Polls::start(clock.now())));
         let (query_due, is_due) = watch::channel(());
         let stream = QueryStream {
             clock,
             origin: origin.clone(),
             period,
-            questions: questions.clone(),
+            polls: polls.clone(),
             is_due,
         };
         let body = stream::unfold(stream, |mut stream| async move {
             let bytes = stream.next().await?;
             Some((bytes, stream))
         });
-        (
-            Self {
-                questions,
-                query_due,
-            },
-            frame::body(body),
-        )
+        (Self { polls, query_due }, frame::body(body))
     }
 
     /// Records a message that was written after query `number` had arrived.
@@ -56,7 +50,7 @@
     ///
     /// When that query is not open.
     pub(super) fn record_answer(&self, number: PollNumber) -> Result<(), UnexpectedAnswer> {
-        let action = self.questions.borrow_mut().receive(number)?;
+        let action = self.polls.borrow_mut().receive(number)?;
         if action == Reaction::Ask {
             self.query_due.send_replace(());
         }
@@ -65,7 +59,7 @@
 
     /// Current age of state that had age `sent_age` when the last message was written.
     pub(super) fn age(&self, now: Duration, sent_age: Duration) -> Duration {
-        self.questions.borrow().age(now, sent_age)
+        self.polls.borrow().age(now, sent_age)
     }
 }
 
@@ -74,7 +68,7 @@
     clock: Clock,
     origin: id::Host,
     period: Duration,
-    questions: Rc<RefCell<Polls>>,
+    polls: Rc<RefCell<Polls>>,
     is_due: watch::Receiver<()>,
 }
 
@@ -86,7 +80,7 @@
             due = self.is_due.changed() => due.ok()?,
             () = tokio::time::sleep(self.period) => {}
         }
-        let number = self.questions.borrow_mut().send(self.clock.now());
+        let number = self.polls.borrow_mut().send(self.clock.now());
         match frame::frame(&feed_wire::FreshnessQuery { number }, &self.origin) {
             Ok(bytes) => Some(bytes),
             Err(error) => {
--- a/crates/lentillift-gateway/src/feed/service.rs
+++ b/crates/lentillift-gateway/src/feed/service.rs
@@ -38,7 +38,7 @@
             return LeaveReason::Retry;
         }
         let started = host.now();
-        let (news, age) = match poll(host).await {
+        let (update, age) = match poll(host).await {
             Ok(polled) => polled,
             Err(error) if host.now().saturating_sub(started) > max_call_time(host) => {
                 warn!(event = "origin", origin = "service", %error, "stood still during a call");
@@ -46,8 +46,8 @@
             }
             Err(error) => return LeaveReason::Failed(error),
         };
-        let is_unchanged = matches!(&news, Update::Changes { items, .. } if items.is_empty());
-        host.apply_update(Some(news), age);
+        let is_unchanged = matches!(&update, Update::Changes { items, .. } if items.is_empty());
+        host.apply_update(Some(update), age);
         host.origin_reachable.set(true);
         host.set_path(RelayPath::reader(&host.name));
         if !is_unchanged {
@@ -82,16 +82,16 @@
     }
     let started = host.now();
     let wait = host.freshness.next_watch(host.age().unwrap_or_default());
-    let WatchResult::Changes(news) = watch(host, after, wait).await? else {
+    let WatchResult::Changes(update) = watch(host, after, wait).await? else {
         return read(host).await;
     };
     let elapsed = host.now().saturating_sub(started);
-    let age = match &news {
+    let age = match &update {
         Update::Changes { items, .. } if items.is_empty() => proof::age_after_watch(elapsed, wait),
         // The time of the change within the watch is unknown.
         _ => elapsed,
     };
-    Ok((news, age))
+    Ok((update, age))
 }
 
 async fn watch<D, S>(host: &Host<D, S>, after: id::Revision, wait: Duration) -> Result<WatchResult>
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -190,7 +190,7 @@
         route,
         view,
         authority,
-        timeout: left,
+        timeout,
     } = read;
     let services = match &route.target {
         Target::Scatter(scatter) => scatter.shards.to_vec(),
@@ -200,7 +200,7 @@
         let mut core = host.core.borrow_mut();
         let mut known = caller.get();
         let plan = Plan::new(
-            &mut core, &mut known, &route, &view, services, arrived, left,
+            &mut core, &mut known, &route, &view, services, arrived, timeout,
         );
         caller.set(known);
         plan.with_fingerprint(message.fingerprint)
@@ -213,9 +213,9 @@
     host.metrics.count(metric::REQUESTS, outcome);
     let labels = [("route", &*route.name), ("kind", outcome)];
     host.metrics.observe(metric::REQUEST_SECONDS, &labels, took);
-    if done.unpaid > 0 {
+    if done.repeats_denied > 0 {
         host.metrics
-            .add(metric::REPEATS_REFUSED, done.unpaid.into());
+            .add(metric::REPEATS_REFUSED, done.repeats_denied.into());
     }
     let late = took > route.objective;
     if late || outcome != "whole" || done.repeats > 0 || is_sampled(&id) {
@@ -227,7 +227,7 @@
             status: response.status(),
             late,
             took,
-            left,
+            timeout,
             config: view.config.version,
             age: host.age().unwrap_or_default(),
             done,
@@ -275,8 +275,8 @@
     };
     let limits = found.view.config.limits;
     let body = Limited::new(body, limits.body_bytes).collect();
-    let left = info.timeout.unwrap_or(found.route.timeout);
-    let body = match tokio::time::timeout(left, body).await {
+    let timeout = info.timeout.unwrap_or(found.route.timeout);
+    let body = match tokio::time::timeout(timeout, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         failed => {
             let (code, why) = match failed {
@@ -314,7 +314,7 @@
         route,
         view,
         authority,
-        timeout: left,
+        timeout,
     })
 }
 
--- a/crates/lentillift-gateway/src/host.rs
+++ b/crates/lentillift-gateway/src/host.rs
@@ -105,7 +105,7 @@
     pub path: RefCell<RelayPath>,
     /// Hosts among which fleet-wide limits are divided.
     pub roster: RefCell<Roster>,
-    /// Signals that quarantine accounts have changed and should be sent to other hosts.
+    /// Signals that quarantine records have changed and should be sent to other hosts.
     pub quarantine_changed: Notify,
     /// Estimated delays of requests from other hosts.
     pub delays: RefCell<Delays>,
--- a/crates/lentillift-gateway/src/metric.rs
+++ b/crates/lentillift-gateway/src/metric.rs
@@ -20,7 +20,7 @@
 /// Counter of backend servers that ended while they had a request of this host.
 pub const SERVERS_ENDED: &str = "lentillift_gateway_servers_ended_total";
 
-/// Counter of changes of quarantine accounts, by new state.
+/// Counter of changes of quarantine records, by new state.
 pub const QUARANTINE_CHANGES: &str = "lentillift_gateway_quarantine_changes_total";
 
 /// Counter of repeated sends that the budget did not allow.
--- a/crates/lentillift-gateway/src/part.rs
+++ b/crates/lentillift-gateway/src/part.rs
@@ -57,7 +57,7 @@
     /// Number of repeated sends.
     pub repeats: u32,
     /// Number of repeated sends that the budget did not allow.
-    pub unpaid: u32,
+    pub repeats_denied: u32,
     /// Services without a part in the answer.
     pub missing: Vec<id::Service>,
     /// Retries and failures of the request, for the log.
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Gossip of quarantine accounts: which requests backend servers ended under.
+//! Gossip of quarantine records: which requests backend servers ended under.
 //!
 //! Without it, a caller's next attempt may reach a host that does not know the request, and the
 //! request would crash servers of one host after another. A change is pushed to a few hosts at
@@ -33,7 +33,7 @@
 /// Path of requests between hosts.
 pub const PATH: &str = "/v2/quarantine";
 
-/// Path at which operators list the accounts, one request per line.
+/// Path at which operators list the records, one request per line.
 pub const LIST: &str = "/quarantine";
 
 /// Path prefix, followed by a fingerprint; `DELETE` on it lifts the quarantine of that request.
@@ -48,25 +48,25 @@
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// Interval between exchanges with another host until the first one has succeeded, and while any
-/// account is younger than [`RECENT`]: hosts that missed a change have to learn it soon.
+/// record is younger than [`RECENT`]: hosts that missed a change have to learn it soon.
 pub const SHORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// Interval between exchanges while all accounts are older than [`RECENT`].
+/// Interval between exchanges while all records are older than [`RECENT`].
 pub const LONG_PERIOD: Duration = Duration::from_secs(2);
 
-/// Age below which an account may not have reached all hosts yet.
+/// Age below which a record may not have reached all hosts yet.
 pub const RECENT: Duration = Duration::from_secs(15);
 
 /// Time limit of an exchange.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest number of accounts in one message.
-const MAX_ACCOUNTS: usize = 64;
+/// Largest number of records in one message.
+const MAX_RECORDS: usize = 64;
 
 /// Largest message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Pushes changes and exchanges accounts with other hosts until the process ends.
+/// Pushes changes and exchanges records with other hosts until the process ends.
 pub async fn gossip<D, S>(host: Rc<Host<D, S>>)
 where
     D: Dialect,
@@ -83,16 +83,16 @@
     }
 }
 
-/// Interval until the next exchange, given the latest account.
+/// Interval until the next exchange, given the latest record.
 pub fn period(latest: &[SharedRecord], has_joined: bool) -> Duration {
-    let is_recent = latest.iter().any(|account| account.age < RECENT);
+    let is_recent = latest.iter().any(|record| record.age < RECENT);
     match is_recent || !has_joined {
         true => SHORT_PERIOD,
         false => LONG_PERIOD,
     }
 }
 
-/// Pushes changed accounts to some other hosts.
+/// Pushes changed records to some other hosts.
 async fn push<D, S>(host: &Rc<Host<D, S>>)
 where
     D: Dialect,
@@ -100,18 +100,18 @@
 {
     tokio::time::sleep(BATCH_DELAY).await;
     let mut changed = host.core.borrow_mut().quarantine.take_updates(host.now());
-    changed.iter().for_each(|account| log_state(host, account));
-    // Decided accounts go first, suspects last.
-    changed.sort_by_key(|account| account.state == State::Suspect);
-    for accounts in changed.chunks(MAX_ACCOUNTS) {
+    changed.iter().for_each(|record| log_state(host, record));
+    // Decided records go first, suspects last.
+    changed.sort_by_key(|record| record.state == State::Suspect);
+    for records in changed.chunks(MAX_RECORDS) {
         for peer in peers(host, FANOUT) {
-            tokio::task::spawn_local(send(host.clone(), peer, accounts.to_vec()));
+            tokio::task::spawn_local(send(host.clone(), peer, records.to_vec()));
         }
     }
 }
 
-/// Exchanges accounts with another host; returns whether that succeeded. Until the first success it
-/// sends none, which requests all accounts of the other host.
+/// Exchanges records with another host; returns whether that succeeded. Until the first success it
+/// sends none, which requests all records of the other host.
 async fn exchange<D, S>(host: &Rc<Host<D, S>>, has_joined: bool) -> bool
 where
     D: Dialect,
@@ -121,16 +121,16 @@
         .core
         .borrow()
         .quarantine
-        .shared_records(MAX_ACCOUNTS, host.now());
+        .shared_records(MAX_RECORDS, host.now());
     if has_joined && held.is_empty() {
         return true;
     }
-    let accounts = match has_joined {
-        true => accounts_to_send(held),
+    let records = match has_joined {
+        true => records_to_send(held),
         false => Vec::new(),
     };
     match peers(host, 1).first() {
-        Some(peer) => send(host.clone(), *peer, accounts).await,
+        Some(peer) => send(host.clone(), *peer, records).await,
         None => false,
     }
 }
@@ -142,16 +142,16 @@
     addresses.choose_multiple(&mut rand::rng(), count)
 }
 
-/// Sends accounts to a host and merges those that it returns; returns whether it answered.
-async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, accounts: Vec<SharedRecord>) -> bool
+/// Sends records to a host and merges those that it returns; returns whether it answered.
+async fn send<D, S>(host: Rc<Host<D, S>>, peer: SocketAddr, records: Vec<SharedRecord>) -> bool
 where
     D: Dialect,
     S: Source,
 {
-    let response = tokio::time::timeout(TIMEOUT, call(&host, peer, &accounts)).await;
+    let response = tokio::time::timeout(TIMEOUT, call(&host, peer, &records)).await;
     let error = match response {
         Ok(Ok(answer)) => {
-            merge_accounts(&host, &peer.to_string(), &answer.accounts);
+            merge_records(&host, &peer.to_string(), &answer.records);
             return true;
         }
         Ok(Err(error)) => error,
@@ -161,20 +161,20 @@
         }
     };
     // A later exchange repairs the loss.
-    debug!(event = "quarantine", %error, "quarantine accounts not exchanged");
+    debug!(event = "quarantine", %error, "quarantine records not exchanged");
     false
 }
 
 async fn call<D, S>(
     host: &Host<D, S>,
     peer: SocketAddr,
-    accounts: &[SharedRecord],
+    records: &[SharedRecord],
 ) -> Result<wire::Message>
 where
     D: Dialect,
     S: Source,
 {
-    let body = frame::encode(&wire::Message::from(accounts), &peer.to_string())?;
+    let body = frame::encode(&wire::Message::from(records), &peer.to_string())?;
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = http::Method::POST;
     *request.uri_mut() = http::Uri::from_static("http://host/v2/quarantine");
@@ -188,16 +188,16 @@
     frame::decode(&body.to_bytes(), &peer.to_string())
 }
 
-/// Selects the recent accounts, or all accounts if none is recent. Older ones have reached nearly
+/// Selects the recent records, or all records if none is recent. Older ones have reached nearly
 /// all hosts and are sent only while nothing is recent.
-pub fn accounts_to_send(mut held: Vec<SharedRecord>) -> Vec<SharedRecord> {
-    if held.iter().any(|account| account.age < RECENT) {
-        held.retain(|account| account.age < RECENT);
+pub fn records_to_send(mut held: Vec<SharedRecord>) -> Vec<SharedRecord> {
+    if held.iter().any(|record| record.age < RECENT) {
+        held.retain(|record| record.age < RECENT);
     }
     held
 }
 
-/// Merges the accounts of another host, and answers with those of this one: all of them to a host
+/// Merges the records of another host, and answers with those of this one: all of them to a host
 /// that sends none, since it has just started.
 ///
 /// # Errors
@@ -213,20 +213,20 @@
         .core
         .borrow()
         .quarantine
-        .shared_records(MAX_ACCOUNTS, host.now());
-    merge_accounts(host, "host", &message.accounts);
-    let reply = match message.accounts.is_empty() {
+        .shared_records(MAX_RECORDS, host.now());
+    merge_records(host, "host", &message.records);
+    let reply = match message.records.is_empty() {
         true => held,
-        false => accounts_to_send(held),
+        false => records_to_send(held),
     };
     frame::encode(&wire::Message::from(reply.as_slice()), "host")
 }
 
-/// Merges accounts of another host; what is new is forwarded.
-pub(crate) fn merge_accounts<D, S>(host: &Host<D, S>, from: &str, accounts: &[wire::Account]) {
-    let accounts: Vec<SharedRecord> = accounts.iter().map(SharedRecord::from).collect();
+/// Merges records of another host; what is new is forwarded.
+pub(crate) fn merge_records<D, S>(host: &Host<D, S>, from: &str, records: &[wire::SharedRecord]) {
+    let records: Vec<SharedRecord> = records.iter().map(SharedRecord::from).collect();
     let now = host.clock.now();
-    let new = host.core.borrow_mut().merge_quarantine(&accounts, now);
+    let new = host.core.borrow_mut().merge_quarantine(&records, now);
     if new > 0 {
         debug!(event = "quarantine", from, new, "heard");
         host.quarantine_changed.notify_one();
@@ -250,34 +250,34 @@
     }
 }
 
-/// Renders the accounts for operators, the latest first, a line each: `FINGERPRINT STATE ends=N
+/// Renders the records for operators, the latest first, a line each: `FINGERPRINT STATE ends=N
 /// age_s=N left_s=N`. A quarantine without `left_s` lasts until it is lifted.
 pub fn list<D, S>(host: &Host<D, S>) -> String {
-    let accounts = host
+    let records = host
         .core
         .borrow()
         .quarantine
         .shared_records(usize::MAX, host.clock.now());
-    let lines = accounts.iter().map(|account| {
-        let left = time_to_canary(account.state).map(|left| format!(" left_s={}", left.as_secs()));
+    let lines = records.iter().map(|record| {
+        let left = time_to_canary(record.state).map(|left| format!(" left_s={}", left.as_secs()));
         format!(
             "{} {} ends={} age_s={}{}\n",
-            account.fingerprint,
-            state_name(account.state),
-            account.ends.len(),
-            account.age.as_secs(),
+            record.fingerprint,
+            state_name(record.state),
+            record.ends.len(),
+            record.age.as_secs(),
             left.unwrap_or_default(),
         )
     });
     lines.collect()
 }
 
-/// Lifts a request's quarantine on all hosts; returns whether an account was lifted.
+/// Lifts a request's quarantine on all hosts; returns whether a record was lifted.
 pub fn lift<D, S>(host: &Host<D, S>, fingerprint: &str) -> bool {
     let now = host.clock.now();
     let mut core = host.core.borrow_mut();
     let held = core.quarantine.shared_records(usize::MAX, now);
-    let mut fingerprints = held.iter().map(|account| account.fingerprint);
+    let mut fingerprints = held.iter().map(|record| record.fingerprint);
     let found = fingerprints.find(|known| known.to_string() == fingerprint);
     let is_lifted = found.is_some_and(|known| core.quarantine.lift(known, now));
     if is_lifted {
@@ -290,17 +290,17 @@
     is_lifted
 }
 
-/// Logs and counts a change of an account.
-fn log_state<D, S>(host: &Host<D, S>, account: &SharedRecord) {
-    let state = state_name(account.state);
+/// Logs and counts a change of a record.
+fn log_state<D, S>(host: &Host<D, S>, record: &SharedRecord) {
+    let state = state_name(record.state);
     host.metrics.count(metric::QUARANTINE_CHANGES, state);
     info!(
         event = "quarantine",
-        fingerprint = %account.fingerprint,
+        fingerprint = %record.fingerprint,
         state,
-        ends = account.ends.len(),
-        age_ms = account.age.as_millis() as u64,
-        left_ms = time_to_canary(account.state).map(|left| left.as_millis() as u64),
+        ends = record.ends.len(),
+        age_ms = record.age.as_millis() as u64,
+        left_ms = time_to_canary(record.state).map(|left| left.as_millis() as u64),
         "changed"
     );
 }
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -210,11 +210,11 @@
             Target::Host { host, .. } => host,
         };
         let late = self.late_after().as_millis();
-        let what = format_args!("asked again at {backend}, late after {late} ms");
+        let what = format_args!("sent again to {backend}, late after {late} ms");
         self.note(leg, &what);
     }
 
-    /// Appends to the notes of this request: `+41ms s3: asked again at b7, late after 28 ms`.
+    /// Appends to the notes of this request: `+41ms s3: sent again to b7, late after 28 ms`.
     fn note(&mut self, leg: usize, what: &dyn std::fmt::Display) {
         let after = self.now().saturating_sub(self.query.plan().arrived);
         let after = after.as_millis();
@@ -319,15 +319,15 @@
         self.announce_quarantine();
     }
 
-    /// Wakes the quarantine gossip if the request changed an account.
+    /// Wakes the quarantine gossip if the request changed a record.
     fn announce_quarantine(&self) {
         if self.host.core.borrow().quarantine.has_updates() {
             self.host.quarantine_changed.notify_one();
         }
     }
 
-    /// The quarantine account of this request, if backend servers ended while they ran it.
-    pub fn account(&self) -> Option<SharedRecord> {
+    /// The quarantine record of this request, if backend servers ended while they ran it.
+    pub fn quarantine_record(&self) -> Option<SharedRecord> {
         let core = self.host.core.borrow();
         core.quarantine
             .shared_record(self.message.fingerprint, self.host.now())
@@ -388,7 +388,7 @@
             next,
             parts,
             repeats: self.query.repeats(),
-            unpaid: self.query.repeats_denied(),
+            repeats_denied: self.query.repeats_denied(),
             missing,
             notes: std::mem::take(&mut self.notes),
         }
--- a/crates/lentillift-gateway/tests/actions.rs
+++ b/crates/lentillift-gateway/tests/actions.rs
@@ -5,13 +5,13 @@
 
 use common::Backend;
 use common::Reaction;
-use common::ask;
 use common::backend;
 use common::complete_reply;
 use common::get;
 use common::item;
 use common::listener;
 use common::run;
+use common::send_request;
 use common::serve;
 use common::single_service;
 use common::status;
@@ -61,7 +61,7 @@
                 let mut second = backend(vec![reply("done")]).await;
                 let served = serve(single_service(&[first.address, second.address])).await;
                 let request = get("/once/x", "i").replace("3000", &LEFT_MS.to_string());
-                let answer = ask(served.front, &request).await;
+                let answer = send_request(served.front, &request).await;
                 assert_eq!(status(&answer), $status, "{answer}");
                 // A retry would have been sent by then.
                 tokio::time::sleep(Duration::from_millis(LEFT_MS)).await;
@@ -104,7 +104,7 @@
         drop(closed);
         let mut second = backend(vec![reply("done")]).await;
         let served = serve(single_service(&[address, second.address])).await;
-        let answer = ask(served.front, &get("/once/x", "i")).await;
+        let answer = send_request(served.front, &get("/once/x", "i")).await;
         assert_eq!(status(&answer), 200);
         assert_eq!(requests(&mut second), 1);
     });
@@ -123,7 +123,7 @@
     .await;
     let served = serve(single_service(&[server.address])).await;
     let request = get("/once/x", "i");
-    let mut answer = std::pin::pin!(ask(served.front, &request));
+    let mut answer = std::pin::pin!(send_request(served.front, &request));
     let seen = tokio::select! {
         early = answer.as_mut() => panic!("answered before it ran: {early}"),
         seen = server.seen.recv() => seen,
--- a/crates/lentillift-gateway/tests/ages.rs
+++ b/crates/lentillift-gateway/tests/ages.rs
@@ -7,7 +7,6 @@
 use common::Reaction;
 use common::Served;
 use common::SharedHost;
-use common::ask;
 use common::backend;
 use common::complete_reply;
 use common::get;
@@ -17,6 +16,7 @@
 use common::listener;
 use common::read_message;
 use common::run;
+use common::send_request;
 use common::serve;
 use common::serve_from;
 use common::single_service;
@@ -206,10 +206,10 @@
         let mut polls = 0;
         while polls < 50 {
             let outdated = recovered.elapsed();
-            if let Some(away) = follower.time_since_outage() {
+            if let Some(outage_age) = follower.time_since_outage() {
                 assert!(
-                    away >= outdated,
-                    "outage {away:?} ago, but the service recovered {outdated:?} ago"
+                    outage_age >= outdated,
+                    "outage {outage_age:?} ago, but the service recovered {outdated:?} ago"
                 );
                 polls += 1;
             }
@@ -277,11 +277,12 @@
 }
 
 /// Sends a request shortly before an update; returns the answer.
-async fn ask_before_update(served: &Served, news: Update) -> String {
+async fn request_before_update(served: &Served, update: Update) -> String {
     let front = served.front;
-    let answer = tokio::task::spawn_local(async move { ask(front, &get("/one/x", "i")).await });
+    let answer =
+        tokio::task::spawn_local(async move { send_request(front, &get("/one/x", "i")).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    served.host.apply_update(Some(news), Duration::ZERO);
+    served.host.apply_update(Some(update), Duration::ZERO);
     answer.await.expect("an answer")
 }
 
@@ -292,7 +293,7 @@
 fn a_resumed_host_applies_updates_before_serving() {
     run(async {
         let (served, _first, second) = outdated_host().await;
-        let answer = ask_before_update(&served, missed_update(&second)).await;
+        let answer = request_before_update(&served, missed_update(&second)).await;
         assert!(answer.ends_with("second"), "{answer}");
     });
 }
@@ -306,7 +307,7 @@
         let second = backend(vec![Reaction::Write(complete_reply("second"))]).await;
         let source = MemorySource {
             is_silent: Rc::new(Cell::new(true)),
-            news: Rc::new(RefCell::new(Some(missed_update(&second)))),
+            next_update: Rc::new(RefCell::new(Some(missed_update(&second)))),
             ..MemorySource::default()
         };
         let served = serve_from(single_service(&[first.address]), source).await;
@@ -320,7 +321,7 @@
         while !is_outdated() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let answer = ask(served.front, &get("/one/x", "i")).await;
+        let answer = send_request(served.front, &get("/one/x", "i")).await;
         assert!(answer.ends_with("second"), "{answer}");
     });
 }
@@ -332,7 +333,7 @@
     run(async {
         let (served, _first, second) = outdated_host().await;
         served.host.record_outage(Duration::ZERO);
-        let answer = ask_before_update(&served, missed_update(&second)).await;
+        let answer = request_before_update(&served, missed_update(&second)).await;
         assert!(answer.ends_with("first"), "{answer}");
     });
 }
@@ -342,7 +343,7 @@
 fn an_isolated_host_serves_from_its_state() {
     run(async {
         let (served, _first, _second) = outdated_host().await;
-        let answer = ask(served.front, &get("/one/x", "i")).await;
+        let answer = send_request(served.front, &get("/one/x", "i")).await;
         assert!(answer.ends_with("first"), "{answer}");
     });
 }
@@ -369,8 +370,8 @@
         caller.write_all(head.as_bytes()).await.expect("written");
         tokio::time::sleep(Duration::from_millis(50)).await;
         let items = published("s2", &new, 2);
-        let news = Update::Changes { revision: 2, items };
-        served.host.apply_update(Some(news), Duration::ZERO);
+        let update = Update::Changes { revision: 2, items };
+        served.host.apply_update(Some(update), Duration::ZERO);
         caller.write_all(b"body").await.expect("written");
         let answer = read_message(&mut caller).await.expect("an answer");
         assert!(answer.ends_with("new new new new!"), "{answer}");
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -116,7 +116,7 @@
     /// Whether the next watch gets no response.
     pub is_silent: Rc<Cell<bool>>,
     /// Update that the next answered watch returns.
-    pub news: Rc<RefCell<Option<Update>>>,
+    pub next_update: Rc<RefCell<Option<Update>>>,
 }
 
 impl MemorySource {
@@ -152,8 +152,8 @@
         if self.is_silent.replace(false) {
             std::future::pending::<()>().await;
         }
-        if let Some(news) = self.news.take() {
-            return Ok(WatchResult::Changes(news));
+        if let Some(update) = self.next_update.take() {
+            return Ok(WatchResult::Changes(update));
         }
         tokio::time::sleep(wait).await;
         self.send_response().await;
@@ -461,7 +461,7 @@
 }
 
 /// Sends a request over a new connection and reads the complete answer.
-pub async fn ask(front: SocketAddr, request: &str) -> String {
+pub async fn send_request(front: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(front).await.expect("connected");
     stream.write_all(request.as_bytes()).await.expect("written");
     read_message(&mut stream).await.expect("an answer")
--- a/crates/lentillift-gateway/tests/fatal.rs
+++ b/crates/lentillift-gateway/tests/fatal.rs
@@ -4,7 +4,6 @@
 
 use common::Reaction;
 use common::SharedHost;
-use common::ask;
 use common::backend;
 use common::crashing::Behavior;
 use common::crashing::CrashingServer;
@@ -16,6 +15,7 @@
 use common::item;
 use common::listener;
 use common::run;
+use common::send_request;
 use common::serve;
 use common::single_service;
 use common::start;
@@ -82,12 +82,12 @@
     }
 
     /// Requests `path` from a host once all servers are up.
-    async fn ask(&mut self, host: usize, path: &str) -> String {
+    async fn send_request(&mut self, host: usize, path: &str) -> String {
         let is_up = || self.servers.iter().all(CrashingServer::is_up);
         wait_until("all servers are up", is_up).await;
         self.attempts += 1;
         let id = format!("i{}", self.attempts);
-        ask(self.fronts[host], &get(path, &id)).await
+        send_request(self.fronts[host], &get(path, &id)).await
     }
 
     /// Number of fatal requests that reached servers.
@@ -139,11 +139,11 @@
     run(async {
         let lossy = backend(vec![Reaction::WriteAndClose(String::new())]).await;
         let served = serve(single_service(&[lossy.address])).await;
-        ask(served.front, &get("/once/x", "i1")).await;
+        send_request(served.front, &get("/once/x", "i1")).await;
         assert_eq!(servers_ended(&served.host), 0);
         let server = CrashingServer::start(Behavior::quick('a')).await;
         let served = serve(single_service(&[server.address])).await;
-        ask(served.front, &get(&format!("/once/{FATAL}"), "i2")).await;
+        send_request(served.front, &get(&format!("/once/{FATAL}"), "i2")).await;
         assert_eq!(servers_ended(&served.host), 1);
     });
 }
@@ -157,14 +157,14 @@
         let mut sends = 0;
         for attempt in 0..12 {
             let (before, crashes_before) = (fleet.fatal(), fleet.crashes());
-            fleet.ask(attempt % HOSTS.len(), &path).await;
+            fleet.send_request(attempt % HOSTS.len(), &path).await;
             let is_sent = fleet.fatal() > before;
             sends += usize::from(is_sent && crashes_before >= 3);
         }
         assert!(fleet.hosts.iter().map(servers_ended).sum::<u64>() >= 3);
         assert!(sends <= MAX_SENDS, "sent {sends} times more");
         for host in 0..HOSTS.len() {
-            let answer = fleet.ask(host, "/all/x").await;
+            let answer = fleet.send_request(host, "/all/x").await;
             assert_eq!(status(&answer), 200, "{answer}");
             assert_eq!(header(&answer, "x-missing").as_deref(), Some("0"));
         }
@@ -188,7 +188,7 @@
             wait_until("all servers are up", is_up).await;
             let before = reached();
             let id = format!("i{attempt}");
-            let answer = ask(served.front, &get(&format!("/once/{FATAL}"), &id)).await;
+            let answer = send_request(served.front, &get(&format!("/once/{FATAL}"), &id)).await;
             let expected = if reached() > before { 502 } else { 503 };
             assert_eq!(status(&answer), expected, "{answer}");
         }
@@ -196,23 +196,23 @@
     });
 }
 
-/// A host that has just started has no accounts, and receives the caller's next attempt.
+/// A host that has just started has no records, and receives the caller's next attempt.
 #[test]
 fn a_starting_host_learns_quarantined_requests() {
     run(async {
         let mut fleet = Fleet::start().await;
         let path = format!("/all/{FATAL}");
-        fleet.ask(0, &path).await;
+        fleet.send_request(0, &path).await;
         let is_known = |host: &SharedHost| {
-            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
-            let states = accounts.iter().map(|account| account.state);
+            let records = host.core.borrow().quarantine.shared_records(1, host.now());
+            let states = records.iter().map(|record| record.state);
             { states }.any(|state| matches!(state, State::Quarantined { .. }))
         };
         wait_until("quarantined", || is_known(&fleet.hosts[0])).await;
         let late = start("late", "b", vec![config()]).await;
         introduce(&fleet.hosts[0], &late);
         wait_until("the late host knows it", || is_known(&late)).await;
-        let answer = ask(front(&late).await, &get(&path, "late")).await;
+        let answer = send_request(front(&late).await, &get(&path, "late")).await;
         assert_eq!(status(&answer), 503, "{answer}");
         assert!(header(&answer, "retry-after").is_some(), "{answer}");
     });
@@ -237,7 +237,7 @@
         let entry = start("entry", "a", items.clone()).await;
         let helper = start("helper", "b", items).await;
         introduce(&helper, &entry);
-        let answer = ask(front(&entry).await, &get(&format!("/all/{FATAL}"), "i")).await;
+        let answer = send_request(front(&entry).await, &get(&format!("/all/{FATAL}"), "i")).await;
         assert_eq!(status(&answer), 502, "{answer}");
         let crashes: u32 = servers.iter().map(CrashingServer::crashes).sum();
         // One replica of each shard, and two canaries.
@@ -248,7 +248,7 @@
 
 async fn operator_request(address: SocketAddr, method: &str, path: &str) -> String {
     let request = format!("{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n");
-    ask(address, &request).await
+    send_request(address, &request).await
 }
 
 /// The servers have been fixed, but the request that crashed them is refused until an operator
@@ -258,7 +258,7 @@
     run(async {
         let mut fleet = Fleet::start().await;
         let path = format!("/all/{FATAL}");
-        fleet.ask(0, &path).await;
+        fleet.send_request(0, &path).await;
         let (listener, address) = listener().await;
         let host = fleet.hosts[2].clone();
         tokio::task::spawn_local(listen::serve_operations(
@@ -279,20 +279,18 @@
         let held = format!("/quarantine/{fingerprint}");
         let other = operator_request(address, "DELETE", "/quarantine/0123").await;
         assert_eq!(status(&other), 404);
-        assert_eq!(status(&fleet.ask(0, &path).await), 503);
+        assert_eq!(status(&fleet.send_request(0, &path).await), 503);
         assert_eq!(
             status(&operator_request(address, "DELETE", &held).await),
             200
         );
         let is_clear = |host: &SharedHost| {
-            let accounts = host.core.borrow().quarantine.shared_records(1, host.now());
-            accounts
-                .iter()
-                .all(|account| account.state == State::Cleared)
+            let records = host.core.borrow().quarantine.shared_records(1, host.now());
+            records.iter().all(|record| record.state == State::Cleared)
         };
         for host in &fleet.hosts {
             wait_until("lifted", || is_clear(host)).await;
         }
-        assert_eq!(status(&fleet.ask(0, &path).await), 502);
+        assert_eq!(status(&fleet.send_request(0, &path).await), 502);
     });
 }
--- a/crates/lentillift-gateway/tests/front.rs
+++ b/crates/lentillift-gateway/tests/front.rs
@@ -3,7 +3,6 @@
 mod common;
 
 use common::Reaction;
-use common::ask;
 use common::backend;
 use common::complete_reply;
 use common::get;
@@ -11,6 +10,7 @@
 use common::item;
 use common::read_message;
 use common::run;
+use common::send_request;
 use common::serve;
 use common::single_service;
 use common::status;
@@ -31,7 +31,7 @@
                 let first = backend(vec![$first]).await;
                 let second = backend(vec![$second]).await;
                 let served = serve(single_service(&[first.address, second.address])).await;
-                let answer = ask(served.front, &get($path, "i1")).await;
+                let answer = send_request(served.front, &get($path, "i1")).await;
                 assert_eq!(status(&answer), $status, "{answer}");
                 let body = answer.split_once("\r\n\r\n").map(|(_, body)| body);
                 assert_eq!(body, Some($body), "{answer}");
@@ -105,7 +105,7 @@
         let first = backend(vec![Reaction::Write(full.clone())]).await;
         let second = backend(vec![Reaction::Write(full)]).await;
         let served = serve(single_service(&[first.address, second.address])).await;
-        let answer = ask(served.front, &get("/once/x", "i1")).await;
+        let answer = send_request(served.front, &get("/once/x", "i1")).await;
         assert_eq!(status(&answer), 503);
         let after = header(&answer, "retry-after").expect("a retry-after header");
         assert!(after.parse::<f64>().expect("seconds") > 0.0);
@@ -121,7 +121,7 @@
                 let server = backend(vec![reply("yes")]).await;
                 let served = serve(single_service(&[server.address])).await;
                 let request = String::from($request);
-                let answer = ask(served.front, &request).await;
+                let answer = send_request(served.front, &request).await;
                 assert_eq!(status(&answer), $status, "{answer}");
             });
         }
@@ -150,7 +150,7 @@
 fn without_a_configuration_callers_are_asked_to_retry() {
     run(async {
         let served = serve(Vec::new()).await;
-        let answer = ask(served.front, &get("/one/x", "i")).await;
+        let answer = send_request(served.front, &get("/one/x", "i")).await;
         assert_eq!(status(&answer), 503);
         assert!(header(&answer, "retry-after").is_some());
         assert!(!served.host.is_ready());
@@ -166,7 +166,7 @@
         let served = serve(single_service(&[server.address])).await;
         let request = "GET /one/x?q=1 HTTP/1.1\r\nHost: search.example\r\nx-id: i\r\nx-left: 3000\r\n\
             x-backend: mine\r\nConnection: x-hop, keep-alive\r\nx-hop: 1\r\nx-other: 2\r\n\r\n";
-        ask(served.front, request).await;
+        send_request(served.front, request).await;
         let seen = server.seen.recv().await.expect("a request");
         assert!(seen.starts_with("GET /one/x?q=1 HTTP/1.1\r\n"), "{seen}");
         assert_eq!(header(&seen, "x-backend").as_deref(), Some("b0"));
@@ -191,7 +191,7 @@
         let server = backend(vec![Reaction::Write(double), reply("second")]).await;
         let served = serve(single_service(&[server.address])).await;
         for (id, body) in [("i1", "first"), ("i2", "second")] {
-            let answer = ask(served.front, &get("/one/x", id)).await;
+            let answer = send_request(served.front, &get("/one/x", id)).await;
             assert!(answer.ends_with(body), "{id}: {answer}");
         }
     });
@@ -205,7 +205,7 @@
         let server = backend(vec![closing(&complete_reply("one")), reply("two")]).await;
         let served = serve(single_service(&[server.address])).await;
         for (id, body) in [("i1", "one"), ("i2", "two")] {
-            let answer = ask(served.front, &get("/once/x", id)).await;
+            let answer = send_request(served.front, &get("/once/x", id)).await;
             assert!(answer.ends_with(body), "{id}: {answer}");
             // The close has to arrive before the next request.
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -243,7 +243,7 @@
             item("b2", format!("s2 {} a", second.address)),
         ])
         .await;
-        let answer = ask(served.front, &get("/all/x", "i")).await;
+        let answer = send_request(served.front, &get("/all/x", "i")).await;
         assert_eq!(status(&answer), 200);
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("1"));
         assert_eq!(header(&answer, "x-parts").as_deref(), Some("sig-i,sig-i"));
@@ -265,7 +265,7 @@
         assert_eq!(header(&kept, "connection"), None);
         served.host.stage.send_replace(Stage::Leaving);
         assert!(!served.host.is_ready());
-        let answer = ask(served.front, &get("/one/x", "i2")).await;
+        let answer = send_request(served.front, &get("/one/x", "i2")).await;
         assert_eq!(status(&answer), 200);
         assert_eq!(header(&answer, "connection").as_deref(), Some("close"));
         served.host.stage.send_replace(Stage::Closing);
@@ -291,7 +291,7 @@
             held.push(caller);
         }
         let request = get("/one/x", "next");
-        let mut next = std::pin::pin!(ask(served.front, &request));
+        let mut next = std::pin::pin!(send_request(served.front, &request));
         let early = tokio::time::timeout(Duration::from_millis(100), next.as_mut()).await;
         assert!(early.is_err(), "served beyond the limit: {early:?}");
         held.pop();
--- a/crates/lentillift-gateway/tests/hosts.rs
+++ b/crates/lentillift-gateway/tests/hosts.rs
@@ -5,7 +5,6 @@
 use common::MemorySource;
 use common::Reaction;
 use common::SharedHost;
-use common::ask;
 use common::backend;
 use common::complete_reply;
 use common::front;
@@ -16,6 +15,7 @@
 use common::item;
 use common::listener;
 use common::run;
+use common::send_request;
 use common::start;
 use common::status;
 use lentillift_gateway::feed;
@@ -48,7 +48,7 @@
     let entry = start("entry", "a", near).await;
     let helper = start("helper", "b", far).await;
     introduce(&helper, &entry);
-    let answer = ask(front(&entry).await, &get("/all/x", "i")).await;
+    let answer = send_request(front(&entry).await, &get("/all/x", "i")).await;
     assert_eq!(status(&answer), 200);
     (entry, answer)
 }
@@ -99,7 +99,7 @@
             at: entry.now() + Duration::from_secs(10),
         };
         helper.delays.borrow_mut().note(&stamp, helper.now());
-        let answer = ask(front(&entry).await, &get("/all/x", "i")).await;
+        let answer = send_request(front(&entry).await, &get("/all/x", "i")).await;
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("0"));
         assert!(counted(&entry, "sends_total{kind=\"far\"} 5"));
         assert!(!counted(&helper, "sends_total"));
@@ -117,7 +117,7 @@
         let gone = host("gone", "b", node, MemorySource::default());
         gone.swim.borrow_mut().serve();
         introduce(&gone, &entry);
-        let answer = ask(front(&entry).await, &get("/all/x", "i")).await;
+        let answer = send_request(front(&entry).await, &get("/all/x", "i")).await;
         assert_eq!(status(&answer), 200);
         assert_eq!(header(&answer, "x-missing").as_deref(), Some("0"));
     });
@@ -152,7 +152,7 @@
         tokio::task::spawn_local(feed::follow(follower.clone()));
         changed.changed().await.expect("a change");
         assert!(follower.is_ready());
-        let news = Update::Changes {
+        let update = Update::Changes {
             revision: 9,
             items: vec![Item {
                 key: "b4".to_owned(),
@@ -160,7 +160,7 @@
                 value: None,
             }],
         };
-        reader.apply_update(Some(news), Duration::ZERO);
+        reader.apply_update(Some(update), Duration::ZERO);
         while follower.catalog.borrow().revision() < 9 {
             changed.changed().await.expect("a change");
         }
--- a/crates/lentillift-gateway/tests/rumors.rs
+++ b/crates/lentillift-gateway/tests/rumors.rs
@@ -9,8 +9,8 @@
 use lentillift_fleet::quarantine::Verdict;
 use lentillift_gateway::quarantine::FANOUT;
 use lentillift_gateway::quarantine::SHORT_PERIOD;
-use lentillift_gateway::quarantine::accounts_to_send;
 use lentillift_gateway::quarantine::period;
+use lentillift_gateway::quarantine::records_to_send;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
 /// Number of seeds of each case.
 const SEEDS: u64 = 10;
 
-/// A model of a fleet whose hosts exchange accounts as [`lentillift_gateway::quarantine`] does.
+/// A model of a fleet whose hosts exchange records as [`lentillift_gateway::quarantine`] does.
 struct Fleet {
     rng: StdRng,
     hosts: Vec<Table>,
@@ -59,7 +59,7 @@
         host < self.cut.0 && now < self.cut.1
     }
 
-    fn send(&mut self, from: usize, to: usize, accounts: Vec<SharedRecord>, now: Time) {
+    fn send(&mut self, from: usize, to: usize, records: Vec<SharedRecord>, now: Time) {
         self.sent += 1;
         let is_lost = self.rng.random_bool(self.loss);
         if is_lost || self.is_cut(from, now) || self.is_cut(to, now) {
@@ -67,7 +67,7 @@
         }
         let transit = self.rng.random_range(MS..MAX_TRANSIT);
         self.in_transit
-            .insert((now + transit, self.sent), (to, accounts));
+            .insert((now + transit, self.sent), (to, records));
     }
 
     fn others(&mut self, host: usize, count: usize) -> Vec<usize> {
@@ -79,20 +79,20 @@
         if !self.hosts[host].has_updates() {
             return;
         }
-        let news = self.hosts[host].take_updates(now);
+        let updates = self.hosts[host].take_updates(now);
         for other in self.others(host, FANOUT) {
-            self.send(host, other, news.clone(), now);
+            self.send(host, other, updates.clone(), now);
         }
     }
 
     fn exchange(&mut self, host: usize, now: Time) {
-        let accounts = accounts_to_send(self.hosts[host].shared_records(usize::MAX, now));
-        if accounts.is_empty() {
+        let records = records_to_send(self.hosts[host].shared_records(usize::MAX, now));
+        if records.is_empty() {
             return;
         }
         for other in self.others(host, 1) {
-            self.send(host, other, accounts.clone(), now);
-            let answer = accounts_to_send(self.hosts[other].shared_records(usize::MAX, now));
+            self.send(host, other, records.clone(), now);
+            let answer = records_to_send(self.hosts[other].shared_records(usize::MAX, now));
             self.send(other, host, answer, now);
         }
     }
@@ -115,8 +115,8 @@
                 .first_entry()
                 .filter(|message| message.key().0 <= now)
             {
-                let (host, accounts) = message.remove();
-                self.hosts[host].merge(&Options::default(), &accounts, now);
+                let (host, records) = message.remove();
+                self.hosts[host].merge(&Options::default(), &records, now);
             }
             for host in 0..self.hosts.len() {
                 self.push(host, now);
--- a/crates/lentillift-gateway/tests/spread.rs
+++ b/crates/lentillift-gateway/tests/spread.rs
@@ -51,17 +51,17 @@
     format!("{{\"routes\":[{}]}}", routes.join(","))
 }
 
-fn learn(host: &SharedHost, revision: id::Revision, value: String) {
+fn apply_config(host: &SharedHost, revision: id::Revision, value: String) {
     let item = Item {
         revision,
         ..item("config", value)
     };
     let items = vec![item];
-    let news = match revision {
+    let update = match revision {
         1 => Update::All { revision, items },
         _ => Update::Changes { revision, items },
     };
-    host.apply_update(Some(news), Duration::ZERO);
+    host.apply_update(Some(update), Duration::ZERO);
 }
 
 /// Size in bytes of the message to a follower that has revision 1, after the configuration has
@@ -69,9 +69,9 @@
 async fn message_bytes(routes: usize) -> f64 {
     let (_listener, node) = listener().await;
     let reader = host("reader", "a", node, MemorySource::default());
-    learn(&reader, 1, document(10));
-    learn(&reader, 2, document(routes));
-    learn(&reader, 3, document(routes) + "-changed");
+    apply_config(&reader, 1, document(10));
+    apply_config(&reader, 2, document(routes));
+    apply_config(&reader, 3, document(routes) + "-changed");
     let mut body = feed::serve::body(reader, 1, None);
     let frame = body.frame().await.expect("a frame").expect("no error");
     let bytes = frame.into_data().expect("data");
@@ -113,7 +113,11 @@
         let later = at + followers.len() as f64 * bytes / LINK;
         has.extend(followers.into_iter().map(|follower| (follower, later)));
     }
-    assert_eq!(reached, fleet.len(), "someone follows nobody who reads");
+    assert_eq!(
+        reached,
+        fleet.len(),
+        "some hosts are not reached from a host that reads the service"
+    );
     last
 }
 
