--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -1,10 +1,10 @@
-//! Branch requests: asks another host for shards that have replicas in its failure domain.
+//! Branch requests: requests to another host for shards that have replicas in its failure domain.
 //!
 //! That host sends each shard's request once, to a replica near it, and never retries: retries are
 //! decided by the requesting host, which has the caller and alone knows how often the request was
 //! sent and what the budget allows. It therefore gets answers early: the shards that are complete
-//! by the time most replies should be there, the shards that could not be sent at all, and all others
-//! as they complete.
+//! by the time most replies should be there, the shards that could not be sent at all, and all
+//! others as they complete.
 
 pub mod answer;
 mod wire;
--- a/crates/lentillift-gateway/src/feed/freshness.rs
+++ b/crates/lentillift-gateway/src/feed/freshness.rs
@@ -50,8 +50,8 @@
     ///
     /// When that query is not open.
     pub(super) fn record_answer(&self, number: PollNumber) -> Result<(), UnexpectedAnswer> {
-        let action = self.polls.borrow_mut().receive(number)?;
-        if action == Reaction::Ask {
+        let reaction = self.polls.borrow_mut().receive(number)?;
+        if reaction == Reaction::Ask {
             self.query_due.send_replace(());
         }
         Ok(())
--- a/crates/lentillift-gateway/src/pool.rs
+++ b/crates/lentillift-gateway/src/pool.rs
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// The variant tells whether the server may have received any of the request.
+    /// The variant states whether the server may have received any of the request.
     pub async fn exchange<F>(
         &self,
         server: &Server,
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -368,8 +368,8 @@
     pub seen: mpsc::UnboundedReceiver<String>,
 }
 
-/// Starts a backend server that applies `reactions` to its requests in order, across all connections,
-/// and repeats the last one.
+/// Starts a backend server that applies `reactions` to its requests in order, across all
+/// connections, and repeats the last one.
 pub async fn backend(reactions: Vec<Reaction>) -> Backend {
     let (listener, address) = listener().await;
     let (sender, seen) = mpsc::unbounded_channel();
