--- a/crates/lentillift-gateway/src/branch.rs
+++ b/crates/lentillift-gateway/src/branch.rs
@@ -1,10 +1,10 @@
-//! Branch requests: asks another host for shards that have replicas in its failure domain.
+//! Branch requests: requests to another host for shards that have replicas in its failure domain.
 //!
 //! That host sends each shard's request once, to a replica near it, and never retries: retries are
 //! decided by the requesting host, which has the caller and alone knows how often the request was
 //! sent and what the budget allows. It therefore gets answers early: the shards that are complete
-//! by the time most replies should be there, the shards that could not be sent at all, and all others
-//! as they complete.
+//! by the time most replies should be there, the shards that could not be sent at all, and all
+//! others as they complete.
 
 pub mod answer;
 mod wire;
@@ -155,8 +155,8 @@
         if !answer.slow.is_empty() {
             merge_reports(host, &self.reader, &answer.slow);
         }
-        if let Some(account) = &answer.quarantine {
-            quarantine::merge_accounts(host, self.reader.peer(), std::slice::from_ref(account));
+        if let Some(record) = &answer.quarantine {
+            quarantine::merge_records(host, self.reader.peer(), std::slice::from_ref(record));
         }
         let legs = |indices: &[u16]| -> Vec<usize> {
             let legs = indices
