--- a/crates/lentilliftd/src/entry.rs
+++ b/crates/lentilliftd/src/entry.rs
@@ -114,7 +114,7 @@
         match input {
             Input::Call(Call::Query {
                 request,
-                query: ask: search,
+                query: search,
                 reply,
             }) => {
                 let pending = PendingQuery {
