--- a/crates/lentillift-entry/tests/bench/patterns.rs
+++ b/crates/lentillift-entry/tests/bench/patterns.rs
@@ -175,9 +175,8 @@
     world
 }
 
-/// The capacity is 800 queries per second; one replica of each of the four shards runs 1,600
-/// sub-requests per second. Name search sends half of the capacity, the archive two and a half
-/// times as much.
+/// Capacity: 800 queries per second; one replica of each of four shards runs 1,600 sub-requests per
+/// second. Name search sends half of the capacity, the archive two and a half times the capacity.
 pub fn overload(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         callers: vec![("name", "name", 1), ("archive", "archive", 1)],
@@ -203,9 +202,8 @@
     world
 }
 
-/// Servers of two shards restart without notice under 70% load; one of them restarts again during
-/// its ramp-up. A restarted server needs a hundred requests to warm up, and until then crashes if
-/// it has more than one at a time.
+/// Servers of two shards restart unannounced under 70% load, one again during its ramp-up. A server
+/// needs a hundred requests to warm up; until then it crashes if it has more than one at a time.
 pub fn cold_return(policy: Policy, time_scale: f64) -> World {
     let mut world = World::new(&Setup {
         policy,
--- a/crates/lentillift-fleet/src/follow/proof.rs
+++ b/crates/lentillift-fleet/src/follow/proof.rs
@@ -102,10 +102,10 @@
     }
 }
 
-/// Age of the data after a watch that was held for `wait` and returned no change, `passed` after it
-/// was requested.
+/// Age of the data after a watch that stayed open for `wait` and returned no change, `passed` after
+/// it was requested.
 ///
-/// The service answers only after it has held the watch for that long, so the answer was sent at
+/// The service answers only after the watch has been open for that long, so the answer was sent at
 /// most the remaining time ago. An answer that came earlier proves no more than any other answer.
 pub fn age_after_watch(passed: Duration, wait: Duration) -> Duration {
     passed.checked_sub(wait).unwrap_or(passed)
--- a/crates/lentillift-fleet/src/read.rs
+++ b/crates/lentillift-fleet/src/read.rs
@@ -3,8 +3,8 @@
 //! Scenario: a fleet grows, starts all at once or is partitioned, in front of a service that
 //! accepts 2,000 calls per second from all readers together. A few hosts of each failure domain
 //! watch it in turns, and gossip spreads what they read. All other hosts poll it rarely, and less
-//! often the larger the fleet, in case the watchers are served an old revision. Hosts that hear
-//! from no peer poll it once a second.
+//! often the larger the fleet, in case the watchers are served an old revision. Hosts that get
+//! no answer from any peer poll it once a second.
 
 use crate::rendezvous;
 use crate::value;
@@ -44,7 +44,7 @@
     /// Poll period per host of the fleet, used if the product is longer; all hosts together make
     /// ten calls a second.
     pub poll_period_per_host: Duration,
-    /// Poll period of a host that is starting or hears from no peer.
+    /// Poll period of a host that is starting or gets no answer from any peer.
     pub isolated_poll_period: Duration,
     /// Minimum time between two calls for the index.
     pub gap: Duration,
@@ -73,7 +73,7 @@
 /// Role of this process in reading the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It is starting, or hears from no peer.
+    /// It is starting, or gets no answer from any peer.
     Alone,
     /// It watches the service.
     Watcher,
--- a/crates/lentillift-fleet/tests/proof.rs
+++ b/crates/lentillift-fleet/tests/proof.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The first host's watch returns once it has been held for its time and the answer has
+    /// The first host's watch returns once it has been open for its wait time and the answer has
     /// arrived.
     fn read(&mut self) {
         let wait = OPTIONS.watch();
--- a/crates/lentillift-gateway/src/branch/answer.rs
+++ b/crates/lentillift-gateway/src/branch/answer.rs
@@ -55,7 +55,7 @@
 
 /// Estimates how long a request was delayed in transit, and declines one that was delayed so long
 /// that its caller may have left. Its cancellation would be delayed as well, and backend servers
-/// would work in vain.
+/// would do work that nobody uses.
 fn check_delay<D, S>(host: &Host<D, S>, request: &BranchRequest) -> Result<Duration>
 where
     D: Dialect,
--- a/crates/lentillift-gateway/src/branch/wire.rs
+++ b/crates/lentillift-gateway/src/branch/wire.rs
@@ -35,7 +35,7 @@
     pub(super) sent_us: u64,
     /// Time until the first answer is due, in milliseconds.
     pub(super) first_answer_ms: u32,
-    /// Time limit of the whole request, in milliseconds.
+    /// Time until the deadline of the whole request, in milliseconds.
     pub(super) timeout_ms: u32,
 }
 
--- a/crates/lentillift-gateway/src/exchange.rs
+++ b/crates/lentillift-gateway/src/exchange.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Time that a reply may arrive after the server's own time limit.
+/// Time that a reply may arrive after the server's own deadline.
 const REPLY_SLACK: Duration = Duration::from_millis(30);
 
 /// A complete reply of a backend server.
--- a/crates/lentillift-gateway/src/front.rs
+++ b/crates/lentillift-gateway/src/front.rs
@@ -61,7 +61,7 @@
 /// `Retry-After` of a host without a configuration: another host has one.
 const UNREADY_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Assumed time limit of a caller that specifies none, before its route is known.
+/// Assumed timeout of a caller that specifies none, before its route is known.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Smallest buffer that the HTTP library accepts, in bytes.
--- a/crates/lentillift-gateway/src/listen.rs
+++ b/crates/lentillift-gateway/src/listen.rs
@@ -39,7 +39,7 @@
 /// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time limit for reading the head of a request of the balancer or an operator.
+/// Timeout for reading the head of a request of the balancer or an operator.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Largest request body of another host, in bytes.
--- a/crates/lentillift-gateway/src/peer.rs
+++ b/crates/lentillift-gateway/src/peer.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time limit for opening a connection: a hundred round trips within a region.
+/// Timeout for opening a connection: a hundred round trips within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// HTTP/2 flow-control window of streams and connections.
--- a/crates/lentillift-gateway/src/pool.rs
+++ b/crates/lentillift-gateway/src/pool.rs
@@ -28,7 +28,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Time limit for opening a connection: a hundred round trips within a region.
+/// Timeout for opening a connection: a hundred round trips within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which unacknowledged data ends a connection (`TCP_USER_TIMEOUT`).
@@ -36,7 +36,7 @@
 /// A connection that went silent would otherwise receive requests until TCP gives up after minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time limit for probing whether a server's port is open. The request's next send waits for this
+/// Timeout for probing whether a server's port is open. The request's next send waits for this
 /// probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
--- a/crates/lentillift-gateway/src/quarantine.rs
+++ b/crates/lentillift-gateway/src/quarantine.rs
@@ -57,7 +57,7 @@
 /// Age below which a record may not have reached all hosts yet.
 pub const RECENT: Duration = Duration::from_secs(15);
 
-/// Time limit of an exchange.
+/// Timeout of an exchange.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Largest number of records in one message.
--- a/crates/lentillift-gateway/src/request_log.rs
+++ b/crates/lentillift-gateway/src/request_log.rs
@@ -18,7 +18,7 @@
     pub(crate) status: StatusCode,
     pub(crate) late: bool,
     pub(crate) took: Duration,
-    /// Time limit of the caller, from the arrival of the request.
+    /// Time from the request's arrival to the caller's deadline.
     pub(crate) timeout: Duration,
     pub(crate) config: Version,
     pub(crate) age: Duration,
--- a/crates/lentillift-gateway/src/run.rs
+++ b/crates/lentillift-gateway/src/run.rs
@@ -90,7 +90,7 @@
 /// Runs `plan` until there is an answer.
 ///
 /// Sends still in flight then finish without the caller: cancelling them would close a connection
-/// each, and their servers hold a slot no longer than the time limit that they were given.
+/// each, and their servers hold a slot no longer than until the deadline that they were given.
 pub async fn run<D, S>(
     host: &Rc<Host<D, S>>,
     plan: Plan,
--- a/crates/lentillift-gateway/src/source.rs
+++ b/crates/lentillift-gateway/src/source.rs
@@ -19,7 +19,7 @@
 
 /// A service that publishes items under keys, with revisions.
 ///
-/// Calls have no total time limit of their own: a response that is still arriving is read to its
+/// Calls have no total timeout of their own: a response that is still arriving is read to its
 /// end, since large values over a busy link take longer than a healthy service takes to its first
 /// byte. The caller of a method bounds its total time.
 pub trait Source: 'static {
--- a/crates/lentillift-gateway/tests/actions.rs
+++ b/crates/lentillift-gateway/tests/actions.rs
@@ -23,7 +23,7 @@
 use lentillift_scatter::source::Update;
 use std::time::Duration;
 
-/// Time limit of the caller in these tests, in milliseconds.
+/// Time until the caller's deadline in these tests, in milliseconds.
 const LEFT_MS: u64 = 300;
 
 /// Number of requests that a server received.
@@ -78,7 +78,7 @@
     closed_without_a_reply: nothing_and_close() => 502, [1, 0];
     /// As above, but the connection is reset.
     reset_without_a_reply: nothing_and_reset() => 502, [1, 0];
-    /// The server does not reply within the caller's time limit. That does not mean that it
+    /// The server does not reply before the caller's deadline. That does not mean that it
     /// rejected the action: it may still run.
     silent_until_the_end: Reaction::Hang => 504, [1, 0];
     /// The reply is truncated.
--- a/crates/lentillift-gateway/tests/common/mod.rs
+++ b/crates/lentillift-gateway/tests/common/mod.rs
@@ -499,5 +499,5 @@
     assert!(ended.is_ok(), "test timed out");
 }
 
-/// Time limit of a test, many times what any test takes.
+/// Timeout of a test, many times what any test takes.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
--- a/crates/lentillift-policy/src/admission.rs
+++ b/crates/lentillift-policy/src/admission.rs
@@ -34,7 +34,7 @@
 /// Minimum capacity of the bucket in queries; the highest floor then leaves tokens for a query.
 const MIN_CAPACITY_QUERIES: f64 = 4.0;
 
-/// Minimum and maximum of the time that a refused caller is told to wait.
+/// Minimum and maximum of the `Retry-After` time in a refusal.
 pub const RETRY_AFTER_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(5));
 
--- a/crates/lentillift-scatter/src/query/suspect.rs
+++ b/crates/lentillift-scatter/src/query/suspect.rs
@@ -21,8 +21,8 @@
 impl Query {
     /// Decides how the request is treated.
     ///
-    /// For a request from another host the decision is left to that host, which knows the caller;
-    /// it is told what is known here by refusing the request.
+    /// A request from another host is refused if it is suspect or quarantined here. That host knows
+    /// the caller and decides how to treat the request.
     pub(super) fn admit(&mut self, core: &mut Core, now: Time) -> Admission {
         let fingerprint = self.plan.fingerprint;
         if self.plan.local_only {
--- a/crates/lentillift-scatter/src/replica.rs
+++ b/crates/lentillift-scatter/src/replica.rs
@@ -228,8 +228,8 @@
         self.reused_address = Some((entry.process_start_ms, entry.address));
     }
 
-    /// Whether another server has the address in `entry`; remains so until the server is published
-    /// anew.
+    /// Whether another server has the address in `entry`; remains so until an entry with another
+    /// process start or address is published.
     pub fn has_reused_address(&self, entry: &Entry) -> bool {
         self.reused_address == Some((entry.process_start_ms, entry.address))
     }
--- a/crates/lentillift-scatter/tests/asked.rs
+++ b/crates/lentillift-scatter/tests/asked.rs
@@ -263,7 +263,7 @@
         }
     }
     assert_eq!(tried, 1);
-    // Once it is published anew, it is tried again.
+    // Once it is published with another process start, it is tried again.
     let mut latest = (**core.view.as_ref().expect("a view")).clone();
     let mut again = (*server("b2", "s2", "b")).clone();
     again.entry.process_start_ms = 2;
