--- a/crates/lentillift-fleet/src/quarantine.rs
+++ b/crates/lentillift-fleet/src/quarantine.rs
@@ -30,7 +30,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Identifies one process of a backend server, across restarts of the server.
+/// Identifies one process of a backend server; a restarted server has another one.
 pub type ProcessId = u64;
 
 /// Identifier of the process of a backend server that `start` distinguishes from earlier and later
